--- a/packages/mustardquay/src/mustardquay/actions.py
+++ b/packages/mustardquay/src/mustardquay/actions.py
@@ -1,4 +1,4 @@
-"""Actions: what the state machine of a request asks its caller to do."""
+"""Actions: what the state machine of a request returns for its caller to execute."""
 
 from dataclasses import dataclass
 from datetime import timedelta
@@ -23,14 +23,14 @@
 
 @dataclass(frozen=True, slots=True)
 class ChooseUpstream:
-    """Choose an upstream, none of `avoid` if another will do."""
+    """Choose an upstream, preferably none of `avoid`."""
 
     avoid: frozenset[str]
 
 
 @dataclass(frozen=True, slots=True)
 class SendAttempt:
-    """Send the attempt; `resume` when part of the answer was delivered."""
+    """Send the attempt; `resume` is set if part of the answer was already delivered."""
 
     number: int
     upstream: str
@@ -40,7 +40,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ReattachAttempt:
-    """Ask the agent over a new link for the frames from `have` on."""
+    """Request the frames from index `have` on from the agent, over a new link."""
 
     number: int
     upstream: str
@@ -50,7 +50,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CancelAttempt:
-    """Tell the agent that the attempt's answer is no longer wanted."""
+    """Cancel the attempt at its agent."""
 
     number: int
 
@@ -64,7 +64,7 @@
 
 @dataclass(frozen=True, slots=True)
 class DeliverHead:
-    """Pass status and headers to the caller; comes once at the most."""
+    """Pass status and headers to the caller; emitted at most once per request."""
 
     status: int
     headers: tuple[Header, ...]
@@ -80,10 +80,10 @@
 
 @dataclass(frozen=True, slots=True)
 class AnswerEarly:
-    """Tell the caller that the outcome is unknown; the work itself goes on.
+    """Tell the caller that the outcome is unknown, while the attempt continues.
 
-    Only for work that must not be repeated: it is not broken off at the deadline,
-    and what becomes of it is still recorded. `Finish` follows.
+    Only for non-idempotent requests: they are not cancelled at the deadline, and their
+    outcome is still recorded. `Finish` follows.
     """
 
     refusal: Refusal
@@ -91,9 +91,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Finish:
-    """Tell the caller the outcome, unless it was told early; nothing follows.
+    """Tell the caller the outcome, unless `AnswerEarly` did; the last action.
 
-    `refusal` tells why there is no answer, and is None with one.
+    `refusal` is the reason why there is no answer, or None if there is one.
     """
 
     outcome: Outcome
--- a/packages/mustardquay/src/mustardquay/admissions.py
+++ b/packages/mustardquay/src/mustardquay/admissions.py
@@ -1,9 +1,9 @@
-"""Admissions: what a contract allows, and how much each customer has used.
+"""Admission: what a contract allows, and how much each customer has used.
 
-Use is counted in engine seconds and forgotten exponentially, so that a customer's
-use divided by the fleet's is comparable to its share at every instant, and an idle
-customer costs no memory. Nodes exchange digests of their own use; a digest replaces
-the former one of the same node, so that a lost or doubled one does no harm.
+Usage is counted in engine seconds and decays exponentially, so that a customer's
+fraction of the fleet's usage is comparable to its share at any time, and an idle
+customer takes no memory. Nodes exchange digests of their own usage; a digest replaces
+the previous one of the same node, so that lost and duplicate digests are harmless.
 """
 
 import math
@@ -24,21 +24,21 @@
 
 @dataclass(frozen=True, slots=True)
 class Deadlines:
-    """Monotonic instants by which a request must get on to meet its contract."""
+    """Monotonic times by which a request must start and finish to meet its contract."""
 
     start_by: timedelta
     finish_by: timedelta
 
 
 def set_deadlines(contract: Contract, arrived: timedelta) -> Deadlines:
-    """Return the deadlines that follow from the tolerated lateness."""
+    """Return the deadlines implied by the contract's tolerated lateness."""
     lateness = contract.lateness
     finish_by = arrived + lateness.whole
     return Deadlines(min(arrived + lateness.first_token, finish_by), finish_by)
 
 
 def check_contract(contract: Contract, model: str, adapter: str = "") -> Refusal | None:
-    """Refuse a model, plain service or adapter that the contract lacks."""
+    """Return a refusal if the contract lacks the model, plain service or adapter."""
     if model not in contract.models and model not in contract.services:
         return Refusal(
             Reason.CONTRACT,
@@ -56,7 +56,7 @@
 
 @dataclass(frozen=True, slots=True)
 class UsageDigest:
-    """The use that one node saw: the largest customers' engine seconds, decayed."""
+    """Usage seen by one node: the decayed engine seconds of its largest customers."""
 
     node: str
     number: int
@@ -64,16 +64,17 @@
 
 
 @dataclass(slots=True)
-class _Decayed:
+class _DecayedUsage:
     seconds: float
     at: timedelta
 
 
 class UsageMeter:
-    """Counts engine seconds per customer with an exponential memory.
+    """Counts engine seconds per customer with exponential decay.
 
-    The state is bounded: at most `capacity` customers and `capacity` nodes; the
-    smallest use is forgotten first.
+    `memory` is the time constant of the decay. The state is bounded: at most
+    `capacity` customers and `capacity` nodes; the customers with the least usage are
+    evicted first.
     """
 
     def __init__(
@@ -85,25 +86,25 @@
         self._node = node
         self._memory = memory
         self._capacity = capacity
-        self._used: dict[str, _Decayed] = {}
+        self._used: dict[str, _DecayedUsage] = {}
         self._digests: dict[str, tuple[timedelta, UsageDigest]] = {}
-        self._elsewhere: dict[str, float] = {}
+        self._peer_usage: dict[str, float] = {}
         self._number = 0
 
     def charge(self, customer: str, seconds: float, now: timedelta) -> None:
         """Add engine seconds; a negative charge corrects an earlier estimate."""
         seconds = max(self._read(customer, now) + seconds, 0.0)
-        self._used[customer] = _Decayed(seconds, now)
+        self._used[customer] = _DecayedUsage(seconds, now)
         if len(self._used) > self._capacity:
-            self._forget_smallest(now)
+            self._evict_smallest(now)
 
     def rate(self, customer: str, now: timedelta) -> float:
-        """Return the engines' worth of work that the customer uses, fleet-wide."""
-        seconds = self._read(customer, now) + self._elsewhere.get(customer, 0.0)
+        """Return the customer's fleet-wide usage as a number of fully used engines."""
+        seconds = self._read(customer, now) + self._peer_usage.get(customer, 0.0)
         return seconds / self._memory.total_seconds()
 
     def digest(self, now: timedelta) -> UsageDigest:
-        """Return this node's own use for the other nodes."""
+        """Return this node's own usage, to be sent to the other nodes."""
         used = {name: self._read(name, now) for name in self._used}
         largest = nlargest(DIGEST_CUSTOMERS, used.items(), key=lambda pair: pair[1])
         self._number += 1
@@ -111,24 +112,24 @@
         return UsageDigest(self._node, self._number, kept)
 
     def merge(self, digest: UsageDigest, now: timedelta) -> None:
-        """Take in another node's digest unless a newer one is known."""
+        """Store another node's digest unless a newer one is stored already."""
         known = self._digests.get(digest.node)
         if digest.node == self._node or (known and known[1].number >= digest.number):
             return
         self._digests[digest.node] = (now, digest)
         self._drop_old_digests(now)
-        self._elsewhere = self._sum_digests()
+        self._peer_usage = self._sum_peer_usage()
 
     def _drop_old_digests(self, now: timedelta) -> None:
-        # A node that died no longer uses anything; without this its last digest
-        # would count against its customers for ever.
+        # A node that has died no longer uses anything; its last digest would otherwise
+        # count against its customers forever.
         oldest = now - DIGEST_LIFETIME
         fresh = {n: kept for n, kept in self._digests.items() if kept[0] >= oldest}
         while len(fresh) > self._capacity:
             fresh.pop(next(iter(fresh)))
         self._digests = fresh
 
-    def _sum_digests(self) -> dict[str, float]:
+    def _sum_peer_usage(self) -> dict[str, float]:
         total: dict[str, float] = {}
         for _, digest in self._digests.values():
             for customer, seconds in digest.seconds.items():
@@ -141,7 +142,7 @@
             return 0.0
         return used.seconds * math.exp(-max((now - used.at) / self._memory, 0.0))
 
-    def _forget_smallest(self, now: timedelta) -> None:
+    def _evict_smallest(self, now: timedelta) -> None:
         used = {name: self._read(name, now) for name in self._used}
         kept = nlargest(self._capacity * 3 // 4, used, key=used.__getitem__)
         self._used = {name: self._used[name] for name in kept}
--- a/packages/mustardquay/src/mustardquay/attempts.py
+++ b/packages/mustardquay/src/mustardquay/attempts.py
@@ -1,12 +1,12 @@
-"""Attempts: the life of one request at its entry, as a pure state machine.
+"""Attempts: the lifecycle of one request at its entry, as a pure state machine.
 
-Each method is an event and returns the actions to take, in order. The machine
-does no I/O, so that tests can try every interleaving of events.
+Each method handles one event and returns the actions to take, in order. The state
+machine does no I/O, so that tests can exercise every interleaving of events.
 
-What it promises: a request that must not be repeated is sent again only after the
-agent affirmed that the earlier attempt never started; "not run" is said only when
-that holds for every attempt; frames of an earlier attempt change nothing; each
-token goes to the caller once.
+Invariants: a non-idempotent request is sent again only after the agent has confirmed
+that the earlier attempt never started; the outcome is "not run" only when that holds
+for every attempt; frames of an earlier attempt are ignored; each token is delivered
+to the caller once.
 """
 
 from collections.abc import Callable
@@ -41,17 +41,17 @@
 __all__ = ["Phase", "RequestState"]
 
 FINAL_REASONS = frozenset({Reason.CONTRACT, Reason.QUARANTINE})
-"""Refusals that hold at every upstream, so that another attempt is no use."""
+"""Refusals that every upstream would give, so that a retry is pointless."""
 
-FREE_REASONS = frozenset({Reason.DRAINING, Reason.STALE_INCARNATION})
-"""Refusals that say nothing of the load, and cost nothing of the retry budget."""
+UNCHARGED_REASONS = frozenset({Reason.DRAINING, Reason.STALE_INCARNATION})
+"""Refusals unrelated to load; a retry after one doesn't use the retry budget."""
 
-MISSING_WAITS = 8
-"""How often interrupted work waits for an upstream: some seconds in all."""
+MAX_UPSTREAM_WAITS = 8
+"""Maximum waits of an interrupted request for an upstream: a few seconds in total."""
 
 
 class Phase(StrEnum):
-    """What the request waits for."""
+    """The event that the request is waiting for."""
 
     CHOOSING = "choosing"
     SENT = "sent"
@@ -71,10 +71,10 @@
         spend_retry: Callable[[], bool],
         back_off: Callable[[int], timedelta],
     ):
-        """Take the limits of the request.
+        """Initialise the state machine with the limits of the request.
 
-        `spend_retry` takes one retry from the budget, or says that there is none;
-        `back_off` gives the wait before a retry from the number of retries so far.
+        `spend_retry` takes one retry from the budget and returns False if none is
+        left; `back_off` returns the delay before the retry with the given number.
         """
         self._repeatable = repeatable
         self._streamed = streamed
@@ -87,32 +87,32 @@
         self._waits = 0
         self._upstream = ""
         self._incarnation = 0
-        self._have = 0
+        self._frames_received = 0
         self._avoid: frozenset[str] = frozenset()
         self._may_have_run = False
-        self._is_late = False
+        self._is_past_deadline = False
         self._head_delivered = False
         self._tokens_delivered = 0
         self._resumable = True
 
     @property
     def phase(self) -> Phase:
-        """Return what the request waits for."""
+        """Return the phase that the request is in."""
         return self._phase
 
     @property
     def number(self) -> int:
-        """Return the number of the present attempt, 0 before the first."""
+        """Return the number of the current attempt, 0 before the first."""
         return self._number
 
     @property
     def upstream(self) -> str:
-        """Return the upstream of the present attempt."""
+        """Return the upstream of the current attempt."""
         return self._upstream
 
     @property
     def tokens_delivered(self) -> int:
-        """Return how many tokens the caller was sent."""
+        """Return how many tokens were delivered to the caller."""
         return self._tokens_delivered
 
     @property
@@ -121,113 +121,114 @@
         return self._may_have_run
 
     def start(self) -> list[Action]:
-        """Begin with the choice of an upstream."""
+        """Start by choosing an upstream."""
         return [ChooseUpstream(self._avoid)]
 
     def upstream_chosen(self, upstream: str, incarnation: int) -> list[Action]:
-        """Send the next attempt to this upstream."""
+        """Send the next attempt to the chosen upstream."""
         if self._phase is not Phase.CHOOSING:
             return []
         self._phase = Phase.SENT
         self._number += 1
         self._upstream = upstream
         self._incarnation = incarnation
-        self._have = 0
+        self._frames_received = 0
         resume = self._head_delivered
         return [SendAttempt(self._number, upstream, incarnation, resume)]
 
     def upstream_missing(self, refusal: Refusal) -> list[Action]:
-        """Wait for an upstream within the budget, or give up at once."""
+        """Wait for an upstream to become available, or finish with the refusal."""
         if self._phase is not Phase.CHOOSING:
             return []
         if refusal.reason in FINAL_REASONS:
             return self._finish(refusal)
-        if self._number > 0 and self._waits < MISSING_WAITS:
-            # Work that was interrupted waits for another upstream. When many links
-            # are lost at once, none is reached for a moment, and a stream that was
-            # cut would be given up in it. A wait sends nothing, so costs no retry.
+        if self._number > 0 and self._waits < MAX_UPSTREAM_WAITS:
+            # A request that was interrupted waits for another upstream. When many
+            # links are lost at once, no upstream is reachable for a moment, and an
+            # interrupted stream would fail then. Waiting sends nothing, so it doesn't
+            # use the retry budget.
             self._waits += 1
             self._phase = Phase.BACKING_OFF
             return [WaitBeforeRetry(self._back_off(self._waits))]
         return self._back_off_or_finish(refusal)
 
     def send_failed(self) -> list[Action]:
-        """Go on after an attempt of which not a byte was sent."""
+        """Choose another upstream after an attempt of which no byte was sent."""
         if self._phase is not Phase.SENT:
             return []
-        return self._choose_other()
+        return self._choose_another()
 
     def back_off_ended(self) -> list[Action]:
-        """Choose again after the wait."""
+        """Choose an upstream again after the backoff delay."""
         if self._phase is not Phase.BACKING_OFF:
             return []
         self._phase = Phase.CHOOSING
         return [ChooseUpstream(self._avoid)]
 
     def frame_received(self, number: int, frame: AttemptFrame) -> list[Action]:
-        """Take a frame of attempt `number`.
+        """Handle a frame of attempt `number`.
 
-        Frames of attempts that were replaced, and frames seen before, are
-        dropped: after a retry or a new link the old agent may go on sending, which
-        would show as doubled or foreign tokens at the caller.
+        Frames of superseded attempts and duplicate frames are dropped: after a retry
+        or a reconnect the earlier agent may still be sending, and the caller would
+        receive duplicate tokens or tokens of another attempt.
         """
         if self._phase not in (Phase.SENT, Phase.REATTACHING):
             return []
-        if number != self._number or frame.index < self._have:
+        if number != self._number or frame.index < self._frames_received:
             return []
-        if frame.index > self._have:
+        if frame.index > self._frames_received:
             return self._reattach()
-        self._have += 1
+        self._frames_received += 1
         self._phase = Phase.SENT
-        return self._take_frame(frame)
+        return self._handle_frame(frame)
 
     def link_lost(self) -> list[Action]:
-        """Ask for the rest over a new link; the agent may still be at work."""
+        """Reattach over a new link; the agent may still be running the attempt."""
         if self._phase is not Phase.SENT:
             return []
         return self._reattach()
 
     def reattach_failed(self) -> list[Action]:
-        """Go on after the agent could not be reached, or is another process."""
+        """Handle an agent that is unreachable or has been replaced by a new process."""
         if self._phase is not Phase.REATTACHING:
             return []
         return self._after_failure(FailureKind.LOST)
 
     def deadline_passed(self) -> list[Action]:
-        """Give the caller the final word at once; what was sent may have run."""
+        """Answer the caller at the deadline; an attempt that was sent may have run."""
         refusal = Refusal(
             Reason.DEADLINE,
             "The tolerated lateness has passed; ask again when load is lower.",
             timedelta(seconds=1),
         )
-        self._is_late = True
+        self._is_past_deadline = True
         if not self._repeatable and self._phase in (Phase.SENT, Phase.REATTACHING):
             return [AnswerEarly(refusal)]
         return self._give_up(refusal)
 
     def caller_left(self) -> list[Action]:
-        """Stop idempotent work; what must not be repeated runs to its end."""
+        """Cancel an idempotent request; a non-idempotent one runs to completion."""
         if not self._repeatable:
             return []
         return self._give_up(Refusal(Reason.DEADLINE, "The caller has left."))
 
     def resume_impossible(self) -> None:
-        """Note that what was delivered can't be given to another engine."""
+        """Record that no other engine can continue what was delivered so far."""
         self._resumable = False
 
     def resume_refused(self) -> list[Action]:
-        """Give up on a stream that was to be resumed and can't be."""
+        """Handle a stream that can't be resumed at the chosen upstream."""
         if self._phase is not Phase.SENT:
             return []
         return self._after_failure(FailureKind.TRUNCATED)
 
-    def _take_frame(self, frame: AttemptFrame) -> list[Action]:
+    def _handle_frame(self, frame: AttemptFrame) -> list[Action]:
         match frame:
             case Started():
                 self._may_have_run = True
                 return []
             case Head():
-                return self._take_head(frame)
+                return self._handle_head(frame)
             case Chunk():
                 self._tokens_delivered += frame.tokens
                 return [DeliverData(frame.data, frame.tokens)]
@@ -240,11 +241,11 @@
             case Failed():
                 return self._after_failure(frame.kind)
 
-    def _take_head(self, frame: Head) -> list[Action]:
+    def _handle_head(self, frame: Head) -> list[Action]:
         self._may_have_run = True
         if self._head_delivered:
-            # A resumed stream has a second head. Only that of a stream that goes
-            # on is dropped: an error's body must not be spliced into the answer.
+            # A resumed stream has a second head. It is dropped only when the stream
+            # continues: the body of an error must not be spliced into the answer.
             if frame.status == 200:
                 return []
             return self._cancel() + self._after_failure(FailureKind.ERROR)
@@ -254,21 +255,23 @@
     def _reattach(self) -> list[Action]:
         self._phase = Phase.REATTACHING
         return [
-            ReattachAttempt(self._number, self._upstream, self._incarnation, self._have)
+            ReattachAttempt(
+                self._number, self._upstream, self._incarnation, self._frames_received
+            )
         ]
 
     def _after_refusal(self, refusal: Refusal) -> list[Action]:
         if refusal.reason in FINAL_REASONS:
             return self._finish(refusal)
         if not self._repeatable and self._may_have_run:
-            # An agent that refuses what it has started breaks its protocol. The
-            # work would run twice if it were sent again on that word.
+            # An agent that refuses an attempt after starting it violates the protocol.
+            # The work could run twice if it were sent again because of that refusal.
             return self._finish(refusal)
         if self._number >= self._attempts:
             return self._finish(refusal)
-        if refusal.reason not in FREE_REASONS and not self._spend_retry():
+        if refusal.reason not in UNCHARGED_REASONS and not self._spend_retry():
             return self._finish(refusal)
-        return self._choose_other()
+        return self._choose_another()
 
     def _after_failure(self, kind: FailureKind) -> list[Action]:
         self._may_have_run = True
@@ -277,19 +280,19 @@
             f"The upstream gave no whole answer ({kind}); what ran is not known.",
             timedelta(seconds=1),
         )
-        if not self._repeatable or not self._may_go_on():
+        if not self._repeatable or not self._may_continue():
             return self._finish(refusal, kind)
         self._avoid |= {self._upstream}
         return self._back_off_or_finish(refusal, kind)
 
-    def _may_go_on(self) -> bool:
+    def _may_continue(self) -> bool:
         return not self._head_delivered or self._resumable
 
-    def _choose_other(self) -> list[Action]:
+    def _choose_another(self) -> list[Action]:
         self._avoid |= {self._upstream}
-        # Once the caller has heard `unknown` at its deadline, work that was refused
-        # is not begun elsewhere: its true end is a not-run, which frees its key.
-        if self._is_late or self._number >= self._attempts:
+        # After the caller was told `unknown` at its deadline, a refused attempt is not
+        # sent elsewhere: the outcome is then not-run, which releases the claim.
+        if self._is_past_deadline or self._number >= self._attempts:
             return self._finish(
                 Refusal(
                     Reason.NO_UPSTREAM,
@@ -315,7 +318,7 @@
         if self._phase is Phase.ENDED:
             return []
         if self._phase in (Phase.SENT, Phase.REATTACHING):
-            # Sent and not affirmed as refused: it may be running at this moment.
+            # Sent and not confirmed as refused: it may be running right now.
             self._may_have_run = True
         return self._cancel() + self._finish(refusal)
 
--- a/packages/mustardquay/src/mustardquay/breakers.py
+++ b/packages/mustardquay/src/mustardquay/breakers.py
@@ -1,4 +1,4 @@
-"""Breakers: stop calling a service that fails, and probe it with care."""
+"""Circuit breakers: stop calling a failing service, and probe it at intervals."""
 
 from datetime import timedelta
 from random import Random
@@ -9,11 +9,11 @@
 
 
 class CircuitBreaker:
-    """Opens after failures in a row; then lets one probe through at a time.
+    """Opens after consecutive failures; then allows one probe at a time.
 
-    The wait before each probe is drawn with full jitter and grows with every
-    probe that fails. When a service that was down for an hour comes back, the
-    processes find out at different times, so that it does not fall over again.
+    The delay before each probe is drawn with full jitter and grows with every failed
+    probe. When a service that was down for an hour recovers, processes detect it at
+    different times, so that they don't overload it again.
     """
 
     def __init__(
@@ -32,11 +32,11 @@
 
     @property
     def is_open(self) -> bool:
-        """Return whether calls are refused, but for probes."""
+        """Return whether calls other than probes are refused."""
         return self._failures >= self._threshold
 
     def allow(self, now: timedelta) -> bool:
-        """Return whether a call may be made now; a probe counts as made."""
+        """Return whether a call may be made now; an allowed probe counts as made."""
         if not self.is_open:
             return True
         if self._probe_at is not None and now < self._probe_at:
@@ -45,12 +45,12 @@
         return True
 
     def succeed(self) -> None:
-        """Note that a call was answered; close."""
+        """Record a successful call and close the breaker."""
         self._failures = 0
         self._probe_at = None
 
     def fail(self, now: timedelta) -> None:
-        """Note that a call failed because the service is down or too slow."""
+        """Record a call that failed because the service is down or too slow."""
         self._failures += 1
         if self.is_open:
             self._probe_at = now + self._draw_wait()
--- a/packages/mustardquay/src/mustardquay/budgets.py
+++ b/packages/mustardquay/src/mustardquay/budgets.py
@@ -1,4 +1,4 @@
-"""Budgets: how often a process may call a shared service, and how it backs off."""
+"""Call budgets: how often a process may call a shared service, and retry delays."""
 
 from datetime import timedelta
 from random import Random
@@ -9,7 +9,7 @@
 
 
 class Budget:
-    """A token bucket that hands out waiting times instead of refusals.
+    """A token bucket that returns waiting times instead of refusing calls.
 
     >>> budget = Budget(rate=10, burst=1)
     >>> [budget.reserve(ZERO).total_seconds() for _ in range(3)]
@@ -22,10 +22,10 @@
         self._next = -self._allowance
 
     def reserve(self, now: timedelta, limit: timedelta = timedelta.max) -> timedelta:
-        """Take one call and return how long to wait before it.
+        """Reserve one call and return how long to wait before making it.
 
-        When the wait would be over `limit`, nothing is taken; the wait is
-        returned all the same.
+        If the wait would exceed `limit`, nothing is reserved, but the wait is still
+        returned.
         """
         start = max(self._next, now - self._allowance)
         wait = max(start - now, ZERO)
@@ -37,11 +37,11 @@
 def draw_delay(
     random: Random, attempt: int, base: timedelta, longest: timedelta
 ) -> timedelta:
-    """Return the wait before retry number `attempt`, counted from 0.
+    """Return the delay before retry number `attempt`, counted from 0.
 
-    Full jitter: uniform between 0 and a bound that doubles, so that processes
-    that failed together don't come back together. Source: Brooker, "Exponential
-    Backoff And Jitter", AWS Architecture Blog, 2015.
+    Full jitter: uniform between 0 and a bound that doubles with each attempt, so that
+    processes that failed at the same time don't retry at the same time. Source:
+    Brooker, "Exponential Backoff And Jitter", AWS Architecture Blog, 2015.
     """
     bound = min(base * 2 ** min(attempt, 30), longest)
     return bound * random.random()
--- a/packages/mustardquay/src/mustardquay/queues.py
+++ b/packages/mustardquay/src/mustardquay/queues.py
@@ -1,12 +1,12 @@
 """Queues: the order in which an agent starts the work that waits for its engine.
 
-Customers that use less than their share of the fleet go first, by priority and then
-by deadline. The others take turns by start-time fair queueing (Goyal, Vin and Cheng,
+Customers below their share of the fleet are served first, by priority and then by
+deadline. The others are scheduled by start-time fair queueing (Goyal, Vin and Cheng,
 SIGCOMM 1996), weighted by contract and charged in engine seconds; within a customer
-the earliest deadline goes first. Use is forgotten within seconds, so that nobody is
-over its share for long without being served more than it. What can't be answered in
-time is refused at once, when it is offered or as soon as that is known, with the time
-after which to come back.
+the earliest deadline is first. Usage decays within seconds, so that a customer stays
+over its share only while it is actually served more than that. Work that can't meet
+its deadline is refused when it is offered or as soon as that is known, with the time
+after which to retry.
 """
 
 from bisect import bisect_left, insort
@@ -22,30 +22,30 @@
 __all__ = ["FairQueue"]
 
 MINIMUM_SHARE = 1e-4
-MINIMUM_RETRY = timedelta(milliseconds=100)
-LARGEST_CORRECTION = 8.0
-RESERVED_PART = 8
-"""One slot in so many is lent to nobody who holds its share of them."""
+MINIMUM_RETRY_AFTER = timedelta(milliseconds=100)
+MAX_OVERUSE_FACTOR = 8.0
+RESERVED_SLOT_DIVISOR = 8
+"""One slot in this many is reserved for customers that hold less than their share."""
 
 
 @dataclass(slots=True)
-class _Lane:
-    """The waiting work of one customer, and its place in the turns."""
+class _Flow:
+    """The waiting work of one customer, a flow in the terms of fair queueing."""
 
     share: float
     tag: float
     entries: list[tuple[timedelta, int, Work]] = field(default_factory=list)
     """Sorted by deadline; the number keeps equal deadlines in order of arrival."""
     tokens: int = 0
-    """Uncached prompt tokens that wait."""
-    in_turns: bool = False
-    over: bool = False
-    """Whether the customer was over its share when its turn was set."""
+    """Uncached prompt tokens of the waiting work."""
+    is_scheduled: bool = False
+    is_over_share: bool = False
+    """Whether the customer was over its share when it was last scheduled."""
 
 
 @dataclass(slots=True)
 class _Backlog:
-    """What waits of all the customers over their share, or of all the others."""
+    """Totals of the waiting work, of customers over their share or of all others."""
 
     shares: float = 0.0
     tokens: int = 0
@@ -53,11 +53,12 @@
 
 
 class FairQueue:
-    """Work that waits at one agent, bounded in number.
+    """Bounded queue of the work that waits at one agent.
 
-    `prefill_rate` and `decode_rate` are the engine's, in tokens a second; the latter
-    is that of one stream. `lookahead` is the prefill handed to the engine ahead of
-    time: more of it can't be reordered any more, less of it leaves the engine idle.
+    `prefill_rate` and `decode_rate` are the engine's, in tokens per second; the latter
+    is per stream. `lookahead` is how much prefill is submitted to the engine ahead of
+    time: submitted work can no longer be reordered, but with too little of it the
+    engine becomes idle.
     """
 
     def __init__(
@@ -75,53 +76,57 @@
         self._usage = usage or UsageMeter()
         self._lookahead = lookahead
         self._engines = max(engines, 1)
-        self._lanes: dict[str, _Lane] = {}
-        self._turns: list[tuple[bool, int, float, int, str]] = []
+        self._flows: dict[str, _Flow] = {}
+        self._schedule: list[tuple[bool, int, float, int, str]] = []
         self._waiting: dict[tuple[str, int], tuple[timedelta, int, Work]] = {}
-        self._given_up: list[Work] = []
+        self._late: list[Work] = []
         self._backlogs = (_Backlog(), _Backlog())
-        self._virtual = 0.0
+        self._virtual_time = 0.0
         self._sequence = 0
 
     @property
     def waiting_tokens(self) -> int:
-        """Return the sum of the uncached prompt tokens that wait."""
+        """Return the sum of the uncached prompt tokens of the waiting work."""
         return sum(backlog.tokens for backlog in self._backlogs)
 
     @property
     def waiting_tokens_within(self) -> int:
-        """Return the part of them that customers within their share wait for."""
+        """Return the part of `waiting_tokens` of customers within their share."""
         return self._backlogs[False].tokens
 
     @property
     def waiting(self) -> int:
-        """Return how many attempts wait."""
+        """Return the number of waiting attempts."""
         return len(self._waiting)
 
     @property
     def running(self) -> int:
-        """Return how many attempts run."""
+        """Return the number of running attempts."""
         return self._engine.running
 
     @property
     def usage(self) -> UsageMeter:
-        """Return the meter whose digests go to the other nodes."""
+        """Return the usage meter whose digests are sent to the other nodes."""
         return self._usage
 
     def set_engine(
         self, concurrency: int, prefill_rate: float, decode_rate: float
     ) -> None:
-        """Take over what the engine can do in its present role."""
+        """Set the concurrency and the rates of the engine in its current role."""
         self._engine.set_rates(concurrency, prefill_rate, decode_rate)
 
     def offer(self, work: Work, now: timedelta) -> Refusal | None:
-        """Queue the work, or say at once that it can't be done in time."""
+        """Queue the work, or return a refusal if it can't meet its deadline."""
         wait = self.predict_wait(work, now)
         if len(self._waiting) >= self._capacity:
-            return _refuse(Reason.OVERLOAD, "The queue of this upstream is full", wait)
+            return _make_refusal(
+                Reason.OVERLOAD, "The queue of this upstream is full", wait
+            )
         late = now + wait + self._engine.first_token_time(work) - work.start_by
         if late > timedelta():
-            return _refuse(Reason.DEADLINE, "The deadline can't be met here", late)
+            return _make_refusal(
+                Reason.DEADLINE, "The deadline can't be met here", late
+            )
         self._enqueue(work, now)
         return None
 
@@ -129,81 +134,81 @@
         """Return the next work to start, or None while the engine is full."""
         if self._is_busy(now):
             return None
-        passed_over = []
+        skipped = []
         chosen = None
-        while chosen is None and self._turns:
-            turn = heappop(self._turns)
-            lane = self._lanes[turn[-1]]
-            self._drop_hopeless(lane, now)
-            if not lane.entries:
-                self._close_turn(lane)
-            elif self._may_take(turn[-1], lane):
-                chosen = self._start(turn[-1], lane, now)
+        while chosen is None and self._schedule:
+            scheduled = heappop(self._schedule)
+            flow = self._flows[scheduled[-1]]
+            self._drop_late(flow, now)
+            if not flow.entries:
+                self._unschedule(flow)
+            elif self._may_start(scheduled[-1], flow):
+                chosen = self._start(scheduled[-1], flow, now)
             else:
-                passed_over.append(turn)
-        for turn in passed_over:
-            heappush(self._turns, turn)
+                skipped.append(scheduled)
+        for scheduled in skipped:
+            heappush(self._schedule, scheduled)
         return chosen
 
     def expire(self, now: timedelta) -> list[Work]:
-        """Remove and return the waiting work that can't meet its deadline."""
-        for lane in self._lanes.values():
-            self._drop_hopeless(lane, now)
-        late, self._given_up = self._given_up, []
+        """Remove and return the waiting work that can no longer meet its deadline."""
+        for flow in self._flows.values():
+            self._drop_late(flow, now)
+        late, self._late = self._late, []
         return late
 
     def refuse_late(self, work: Work, now: timedelta) -> Refusal:
-        """Return the refusal of work that `expire` gave up.
+        """Return the refusal for work that `expire` returned.
 
-        It names the time after which what is ahead of it now will be done.
+        Its retry time is the predicted wait behind the work that is queued now.
         """
         wait = self.predict_wait(work, now)
-        return _refuse(Reason.DEADLINE, "The deadline can't be met here", wait)
+        return _make_refusal(Reason.DEADLINE, "The deadline can't be met here", wait)
 
     def withdraw(self, key: tuple[str, int]) -> bool:
-        """Remove waiting work; False when it does not wait here."""
+        """Remove waiting work; return False if it isn't in this queue."""
         entry = self._waiting.get(key)
         if entry is None:
-            return self._withdraw_given_up(key)
-        self._remove(self._lanes[entry[-1].customer], entry)
+            return self._withdraw_late(key)
+        self._remove(self._flows[entry[-1].customer], entry)
         return True
 
-    def _withdraw_given_up(self, key: tuple[str, int]) -> bool:
-        # Work that was found too late waits here to be told by `expire`. Were it
-        # left, its agent would hear of it once more after it had let go of it.
-        for work in self._given_up:
+    def _withdraw_late(self, key: tuple[str, int]) -> bool:
+        # Late work is held until `expire` returns it. Withdrawn work must be removed
+        # as well, or `expire` would return work that the agent no longer tracks.
+        for work in self._late:
             if work.key == key:
-                self._given_up.remove(work)
+                self._late.remove(work)
                 return True
         return False
 
     def note_first_token(self, key: tuple[str, int], now: timedelta) -> None:
-        """Note that the prefill of a running attempt is over."""
+        """Record that the prefill of a running attempt is complete."""
         self._engine.note_first_token(key, now)
 
     def finish(self, key: tuple[str, int], output_tokens: int, now: timedelta) -> None:
-        """Note that a running attempt has ended and what it produced."""
+        """Record the end of a running attempt and correct the usage charged for it."""
         ended = self._engine.finish(key, output_tokens, now)
         if ended is not None:
             customer, difference = ended
             self._usage.charge(customer, difference, now)
 
     def predict_wait(self, work: Work, now: timedelta) -> timedelta:
-        """Return how long the work would wait for its turn, if offered now.
+        """Return how long the work would wait before it starts, if offered now.
 
-        Its customer's own work goes first, stretched by the turns of the others; the
-        whole queue is the most that can be ahead.
+        The customer's own waiting work is ahead of it, scaled by the shares of the
+        customers scheduled alongside; the whole queue is the upper bound.
         """
-        lane = self._lanes.get(work.customer)
+        flow = self._flows.get(work.customer)
         share = max(work.share, MINIMUM_SHARE)
-        known = lane is not None and lane.in_turns
-        over = self._over_share(work.customer, share, now) > 1.0
-        # A customer within its share overtakes all that are over theirs.
-        first = _Backlog() if not over else self._backlogs[False]
-        level = self._backlogs[over]
+        known = flow is not None and flow.is_scheduled
+        is_over_share = self._find_usage_ratio(work.customer, share, now) > 1.0
+        # A customer within its share is served before all that are over theirs.
+        first = _Backlog() if not is_over_share else self._backlogs[False]
+        level = self._backlogs[is_over_share]
         stretch = (level.shares + (0.0 if known else share)) / share
-        tokens = min(lane.tokens * stretch if known else 0.0, level.tokens)
-        count = min(len(lane.entries) * stretch if known else 0.0, level.count)
+        tokens = min(flow.tokens * stretch if known else 0.0, level.tokens)
+        count = min(len(flow.entries) * stretch if known else 0.0, level.count)
         prefill = self._engine.prefill_time(first.tokens + tokens)
         return max(
             self._engine.prefill_left(now) + prefill,
@@ -211,129 +216,133 @@
         )
 
     def _enqueue(self, work: Work, now: timedelta) -> None:
-        lane = self._open_lane(work)
-        if not lane.entries:
-            self._open_turn(work, lane, now)
+        flow = self._open_flow(work)
+        if not flow.entries:
+            self._schedule_flow(work, flow, now)
         self._sequence += 1
         entry = (work.start_by, self._sequence, work)
-        insort(lane.entries, entry)
+        insort(flow.entries, entry)
         self._waiting[work.key] = entry
-        self._add(lane, work.uncached_tokens, 1)
+        self._add(flow, work.uncached_tokens, 1)
 
-    def _remove(self, lane: _Lane, entry: tuple[timedelta, int, Work]) -> None:
+    def _remove(self, flow: _Flow, entry: tuple[timedelta, int, Work]) -> None:
         work = entry[-1]
-        del lane.entries[bisect_left(lane.entries, entry)]
+        del flow.entries[bisect_left(flow.entries, entry)]
         del self._waiting[work.key]
-        self._add(lane, -work.uncached_tokens, -1)
+        self._add(flow, -work.uncached_tokens, -1)
 
-    def _add(self, lane: _Lane, tokens: int, count: int) -> None:
-        lane.tokens += tokens
-        backlog = self._backlogs[lane.over]
+    def _add(self, flow: _Flow, tokens: int, count: int) -> None:
+        flow.tokens += tokens
+        backlog = self._backlogs[flow.is_over_share]
         backlog.tokens += tokens
         backlog.count += count
 
-    def _open_lane(self, work: Work) -> _Lane:
-        if len(self._lanes) > 2 * self._capacity:
-            self._forget_lanes()
-        lane = self._lanes.get(work.customer)
-        if lane is None:
-            lane = _Lane(0.0, self._virtual)
-            self._lanes[work.customer] = lane
-        return lane
-
-    def _forget_lanes(self) -> None:
-        # An idle customer's tag matters only while it is ahead of the turns. Of many
-        # that are, those furthest ahead are kept: they have used most.
+    def _open_flow(self, work: Work) -> _Flow:
+        if len(self._flows) > 2 * self._capacity:
+            self._evict_idle_flows()
+        flow = self._flows.get(work.customer)
+        if flow is None:
+            flow = _Flow(0.0, self._virtual_time)
+            self._flows[work.customer] = flow
+        return flow
+
+    def _evict_idle_flows(self) -> None:
+        # The tag of an idle customer matters only while it is ahead of the virtual
+        # time. If too many are, those furthest ahead are kept: they have used the most.
         idle = [
-            (lane.tag, customer)
-            for customer, lane in self._lanes.items()
-            if not lane.in_turns and lane.tag > self._virtual
+            (flow.tag, customer)
+            for customer, flow in self._flows.items()
+            if not flow.is_scheduled and flow.tag > self._virtual_time
         ]
         kept = {customer for _, customer in nlargest(self._capacity // 2, idle)}
-        self._lanes = {
-            customer: lane
-            for customer, lane in self._lanes.items()
-            if lane.in_turns or customer in kept
+        self._flows = {
+            customer: flow
+            for customer, flow in self._flows.items()
+            if flow.is_scheduled or customer in kept
         }
 
-    def _open_turn(self, work: Work, lane: _Lane, now: timedelta) -> None:
-        if lane.in_turns:
+    def _schedule_flow(self, work: Work, flow: _Flow, now: timedelta) -> None:
+        if flow.is_scheduled:
             return
-        lane.in_turns = True
-        lane.share = max(work.share, MINIMUM_SHARE)
-        self._backlogs[lane.over].shares += lane.share
-        self._push_turn(work, lane, now)
+        flow.is_scheduled = True
+        flow.share = max(work.share, MINIMUM_SHARE)
+        self._backlogs[flow.is_over_share].shares += flow.share
+        self._push_schedule(work, flow, now)
 
-    def _push_turn(self, work: Work, lane: _Lane, now: timedelta) -> None:
-        lane.tag = max(lane.tag, self._virtual)
+    def _push_schedule(self, work: Work, flow: _Flow, now: timedelta) -> None:
+        flow.tag = max(flow.tag, self._virtual_time)
         self._sequence += 1
-        self._set_over(lane, self._over_share(work.customer, lane.share, now) > 1.0)
-        turn = (*self._place(work, lane), self._sequence, work.customer)
-        heappush(self._turns, turn)
-
-    def _place(self, work: Work, lane: _Lane) -> tuple[bool, int, float]:
-        # Over their shares, customers are ordered by these alone. Within them shares
-        # don't decide: there the priority does, and then the deadline.
-        if lane.over:
-            return True, 0, lane.tag
+        self._set_over_share(
+            flow, self._find_usage_ratio(work.customer, flow.share, now) > 1.0
+        )
+        scheduled = (*self._make_sort_key(work, flow), self._sequence, work.customer)
+        heappush(self._schedule, scheduled)
+
+    def _make_sort_key(self, work: Work, flow: _Flow) -> tuple[bool, int, float]:
+        # Customers over their share are ordered by their fair-queueing tag alone,
+        # customers within it by priority and then by deadline.
+        if flow.is_over_share:
+            return True, 0, flow.tag
         return False, -work.priority, work.start_by.total_seconds()
 
-    def _set_over(self, lane: _Lane, over: bool) -> None:
-        if over == lane.over:
+    def _set_over_share(self, flow: _Flow, is_over_share: bool) -> None:
+        if is_over_share == flow.is_over_share:
             return
-        old, new = self._backlogs[lane.over], self._backlogs[over]
-        old.shares = max(old.shares - lane.share, 0.0)
-        new.shares += lane.share
-        old.tokens -= lane.tokens
-        new.tokens += lane.tokens
-        old.count -= len(lane.entries)
-        new.count += len(lane.entries)
-        lane.over = over
-
-    def _close_turn(self, lane: _Lane) -> None:
-        lane.in_turns = False
-        backlog = self._backlogs[lane.over]
-        backlog.shares = max(backlog.shares - lane.share, 0.0)
-
-    def _may_take(self, customer: str, lane: _Lane) -> bool:
-        # The last slots stay free for customers that hold less than their share, so
-        # that one that comes back gets its share without waiting for others' ends.
+        old, new = self._backlogs[flow.is_over_share], self._backlogs[is_over_share]
+        old.shares = max(old.shares - flow.share, 0.0)
+        new.shares += flow.share
+        old.tokens -= flow.tokens
+        new.tokens += flow.tokens
+        old.count -= len(flow.entries)
+        new.count += len(flow.entries)
+        flow.is_over_share = is_over_share
+
+    def _unschedule(self, flow: _Flow) -> None:
+        flow.is_scheduled = False
+        backlog = self._backlogs[flow.is_over_share]
+        backlog.shares = max(backlog.shares - flow.share, 0.0)
+
+    def _may_start(self, customer: str, flow: _Flow) -> bool:
+        # The last slots are reserved for customers that hold less than their share, so
+        # that a returning customer gets its share without waiting for running work of
+        # others to end.
         slots = self._engine.concurrency
         held = self._engine.count_running(customer)
-        within = held < max(lane.share * slots, 1.0)
-        return within or slots - self._engine.running > slots // RESERVED_PART
+        within = held < max(flow.share * slots, 1.0)
+        return within or slots - self._engine.running > slots // RESERVED_SLOT_DIVISOR
 
-    def _start(self, customer: str, lane: _Lane, now: timedelta) -> Work:
-        entry = lane.entries[0]
+    def _start(self, customer: str, flow: _Flow, now: timedelta) -> Work:
+        entry = flow.entries[0]
         work = entry[-1]
         cost = self._engine.start(work, now)
-        self._virtual = max(self._virtual, lane.tag)
-        self._remove(lane, entry)
-        lane.tag += cost * self._correct(customer, lane, now) / lane.share
-        if lane.entries:
-            self._push_turn(lane.entries[0][-1], lane, now)
+        self._virtual_time = max(self._virtual_time, flow.tag)
+        self._remove(flow, entry)
+        flow.tag += cost * self._find_overuse_factor(customer, flow, now) / flow.share
+        if flow.entries:
+            self._push_schedule(flow.entries[0][-1], flow, now)
         else:
-            self._close_turn(lane)
+            self._unschedule(flow)
         self._usage.charge(customer, cost, now)
         return work
 
-    def _over_share(self, customer: str, share: float, now: timedelta) -> float:
-        """Return the customer's use of the fleet over its share of it."""
+    def _find_usage_ratio(self, customer: str, share: float, now: timedelta) -> float:
+        """Return the customer's usage divided by its share of the fleet."""
         return self._usage.rate(customer, now) / (share * self._engines)
 
-    def _correct(self, customer: str, lane: _Lane, now: timedelta) -> float:
-        """Return how much dearer a customer is that is over its share elsewhere."""
+    def _find_overuse_factor(self, customer: str, flow: _Flow, now: timedelta) -> float:
+        """Return the cost factor of a customer that is over its share fleet-wide."""
         return min(
-            max(self._over_share(customer, lane.share, now), 1.0), LARGEST_CORRECTION
+            max(self._find_usage_ratio(customer, flow.share, now), 1.0),
+            MAX_OVERUSE_FACTOR,
         )
 
-    def _drop_hopeless(self, lane: _Lane, now: timedelta) -> None:
-        while lane.entries:
-            entry = lane.entries[0]
+    def _drop_late(self, flow: _Flow, now: timedelta) -> None:
+        while flow.entries:
+            entry = flow.entries[0]
             if now + self._engine.first_token_time(entry[-1]) <= entry[0]:
                 return
-            self._remove(lane, entry)
-            self._given_up.append(entry[-1])
+            self._remove(flow, entry)
+            self._late.append(entry[-1])
 
     def _is_busy(self, now: timedelta) -> bool:
         if self._engine.running >= self._engine.concurrency:
@@ -341,6 +350,6 @@
         return self._engine.prefill_left(now) > self._lookahead
 
 
-def _refuse(reason: Reason, message: str, wait: timedelta) -> Refusal:
-    retry_after = max(wait, MINIMUM_RETRY)
+def _make_refusal(reason: Reason, message: str, wait: timedelta) -> Refusal:
+    retry_after = max(wait, MINIMUM_RETRY_AFTER)
     return Refusal(reason, f"{message}; ask again after the time given.", retry_after)
--- a/packages/mustardquay/src/mustardquay/retries.py
+++ b/packages/mustardquay/src/mustardquay/retries.py
@@ -1,7 +1,7 @@
-"""Retries: how often, and after which pause, idempotent work is sent again.
+"""Retries: how often, and after which delay, idempotent work is sent again.
 
-Retries are paid from token buckets that requests fill, so that a fleet in trouble
-never gets more than a fixed ratio of extra work. Sources: the retry budgets of
+Each retry takes a token from buckets that first attempts fill, so that an overloaded
+fleet never gets more than a fixed ratio of extra work. Sources: the retry budgets of
 Finagle, and "Exponential Backoff And Jitter" (AWS Architecture Blog, 2015).
 """
 
@@ -16,25 +16,25 @@
 
 
 class _Bucket:
-    """Tokens that requests earn and a slow trickle adds, up to a capacity."""
+    """Token bucket filled by requests and at a low constant rate, up to a capacity."""
 
-    __slots__ = ("_capacity", "_now", "_tokens", "_trickle")
+    __slots__ = ("_capacity", "_now", "_tokens", "_refill_rate")
 
     def __init__(self, capacity: float, trickle: float, now: timedelta):
         self._capacity = capacity
-        self._trickle = trickle
+        self._refill_rate = trickle
         self._tokens = capacity
         self._now = now
 
     def add(self, tokens: float, now: timedelta) -> None:
         elapsed = max(now - self._now, timedelta()).total_seconds()
         self._now = max(now, self._now)
-        earned = tokens + elapsed * self._trickle
+        earned = tokens + elapsed * self._refill_rate
         self._tokens = min(self._capacity, self._tokens + earned)
 
     def has_token(self, now: timedelta) -> bool:
         self.add(0, now)
-        # The sum of ten tenths is a little under 1.
+        # Rounding: the floating-point sum of ten tenths is slightly below 1.
         return self._tokens >= 1 - 1e-9
 
     def take(self) -> None:
@@ -44,12 +44,13 @@
 class RetryBudget:
     """Token buckets of one entry: one for all its work and one per customer.
 
-    Guards against a retry storm: an upstream fails, every caller's work is sent
-    again, and the load that remains on the others makes them fail as well. It
-    shows as attempts growing while answers fall. A retry needs a token of the
-    customer and one of the entry; both are earned as a `ratio` of first attempts,
-    so that retries add at most that ratio to the load, apart from the capacity of
-    the buckets and a `trickle` in tokens a second for customers that seldom call.
+    Guards against a retry storm: an upstream fails, the work of every caller is sent
+    again, and the extra load makes the remaining upstreams fail as well. The symptom
+    is a rising number of attempts with a falling number of answers. A retry needs a
+    token of the customer and one of the entry; each first attempt adds `ratio` tokens
+    to both, so that retries add at most that ratio to the load, apart from the
+    capacity of the buckets and `trickle` tokens per second for customers with few
+    requests.
     """
 
     def __init__(
@@ -63,7 +64,7 @@
     ):
         self._ratio = ratio
         self._capacity = capacity
-        self._trickle = trickle
+        self._refill_rate = trickle
         self._customers = customers
         self._entry = _Bucket(entry_capacity, trickle, now)
         self._buckets: OrderedDict[str, _Bucket] = OrderedDict()
@@ -74,7 +75,7 @@
         self._find(customer, now).add(self._ratio, now)
 
     def spend(self, customer: str, now: timedelta) -> bool:
-        """Pay for one retry; False when it may not be made."""
+        """Take the tokens for one retry; return False if it isn't allowed."""
         bucket = self._find(customer, now)
         if not (bucket.has_token(now) and self._entry.has_token(now)):
             return False
@@ -85,11 +86,11 @@
     def _find(self, customer: str, now: timedelta) -> _Bucket:
         bucket = self._buckets.get(customer)
         if bucket is None:
-            bucket = _Bucket(self._capacity, self._trickle, now)
+            bucket = _Bucket(self._capacity, self._refill_rate, now)
             self._buckets[customer] = bucket
         self._buckets.move_to_end(customer)
         if len(self._buckets) > self._customers:
-            # The entry's own bucket still bounds customers that return.
+            # The entry's own bucket still limits an evicted customer that returns.
             self._buckets.popitem(last=False)
         return bucket
 
@@ -101,10 +102,10 @@
     base: timedelta = BACKOFF_BASE,
     cap: timedelta = BACKOFF_CAP,
 ) -> timedelta | None:
-    """Return the pause before retry number `retry` (from 1), with full jitter.
+    """Return the delay before retry number `retry` (from 1), with full jitter.
 
-    `remaining` is the time to the deadline. None means that the pause would pass
-    it: give the final answer at once instead.
+    `remaining` is the time to the deadline. None means that the delay would exceed
+    it, so that the final answer should be given at once.
 
     >>> choose_backoff(1, timedelta(), Random(1)) is None
     True
--- a/packages/mustardquay/src/mustardquay/retry_windows.py
+++ b/packages/mustardquay/src/mustardquay/retry_windows.py
@@ -1,8 +1,8 @@
 """Retry windows: how many repeated sends one process may add for a service.
 
-The platform bounds the repeated sends of all processes together, in every window of
-time: a ratio of the requests plus a fixed allowance. Processes do not ask each other;
-each keeps to the ratio of its own requests and to its part of the allowance.
+The platform limits the repeated sends of all processes together, in every window of
+time, to a ratio of the requests plus a fixed allowance. Processes don't coordinate;
+each one applies the ratio to its own requests and uses its part of the allowance.
 """
 
 from collections import deque
@@ -12,13 +12,13 @@
 __all__ = ["RetryLimits", "RetryWindow"]
 
 RATIO_SHARE = 0.8
-"""Part of the ratio that is spent: requests of the last window may have gone to
-another process, as callers choose a process anew for each connection."""
+"""Fraction of the ratio that is used. Callers choose a process for each connection,
+so the requests of the last window may have gone to another process."""
 
 
 @dataclass(frozen=True, slots=True)
 class RetryLimits:
-    """The bound for all processes together."""
+    """The limit for all processes together."""
 
     ratio: float
     allowance: float
@@ -26,12 +26,12 @@
 
 
 class RetryWindow:
-    """The requests and repeats of one service in this process.
+    """Sliding window of the requests and repeated sends of one service.
 
-    Guards against a retry storm: an upstream fails, its work is sent again by every
-    process, and the upstreams that remain fail under it. The allowance is divided by
-    the number of processes that may live, not by those that are seen: processes that
-    are cut off from each other still keep the bound together.
+    Guards against a retry storm: an upstream fails, every process sends its work
+    again, and the remaining upstreams fail under the load. The allowance is divided by
+    the number of processes that may exist, not by those currently visible, so that
+    processes on both sides of a network partition still keep the common limit.
     """
 
     def __init__(self, limits: RetryLimits, processes: int):
@@ -41,12 +41,12 @@
         self._repeats: deque[timedelta] = deque()
 
     def count_request(self, now: timedelta) -> None:
-        """Count a request that a caller sent for the service."""
+        """Count a request of a caller for the service."""
         self._requests.append(now)
         self._expire(now)
 
     def take(self, now: timedelta, sends: int = 1) -> bool:
-        """Count repeated sends if there is room for all of them."""
+        """Count repeated sends if all of them are within the limit."""
         self._expire(now)
         share = self._limits.allowance / self._processes
         bound = RATIO_SHARE * self._limits.ratio * len(self._requests) + share
--- a/packages/mustardquay/tests/test_fair_queues.py
+++ b/packages/mustardquay/tests/test_fair_queues.py
@@ -234,7 +234,7 @@
         queue.offer(make_work(number, f"c{number}"), span(0))
         work = queue.take(span(0))
         queue.finish(work.key, 1, span(0))
-    assert len(queue._lanes) <= 21
+    assert len(queue._flows) <= 21
 
 
 @CHECK
