--- a/packages/mustardquay/src/mustardquay/claims.py
+++ b/packages/mustardquay/src/mustardquay/claims.py
@@ -1,11 +1,11 @@
-"""Claims: at most one run of work that may not be repeated.
-
-Before such work is sent, a row is written under the caller's idempotency key. The
-row says who runs it and, later, what the answer was; a repeat is judged by it. Rows
-go from claimed to answered, unknown or not-run; an unknown row may still become
-answered or not-run, and only a row that is not-run or has expired may be claimed
-again. Rows are kept, not deleted, until they expire: their revisions only rise, so
-that a write which was delayed on its way meets a condition that no longer holds.
+"""Claims: at most one execution of non-idempotent work.
+
+Before such work is sent, a row is written under the caller's idempotency key. The row
+records who runs the work and, later, its answer; it decides what a repeated request
+gets. Rows change from claimed to answered, unknown or not-run; an unknown row may
+still become answered or not-run, and only a row that is not-run or has expired may be
+claimed again. Rows are kept until they expire and their revisions only increase, so
+that the condition of a delayed write no longer holds when it arrives.
 """
 
 from base64 import b64decode, b64encode
@@ -41,13 +41,13 @@
 
 CLAIMS = "claims"
 KEY_LIMIT = 255
-"""Characters in an idempotency key."""
+"""Maximum number of characters in an idempotency key."""
 CLOCK_SKEW = timedelta(minutes=1)
-"""How far the wall clocks of two entries may differ."""
+"""Maximum difference between the wall clocks of two entries."""
 
 
 class ClaimState(StrEnum):
-    """What is known of the work behind a claim."""
+    """What is known about the work under a claim."""
 
     CLAIMED = "claimed"
     ANSWERED = "answered"
@@ -56,13 +56,13 @@
 
     @property
     def final(self) -> bool:
-        """Return whether this claim's state can't change any more."""
+        """Return whether the state can no longer change."""
         return self in (ClaimState.ANSWERED, ClaimState.NOT_RUN)
 
 
 @dataclass(frozen=True, slots=True)
 class ClaimKey:
-    """What names a piece of work: the caller's key, per customer and service."""
+    """Identifies a piece of work: the caller's key, per customer and service."""
 
     customer: str
     service: str
@@ -76,14 +76,14 @@
 
     @property
     def row_key(self) -> str:
-        """Return the key in the table; the parts can't run into each other."""
+        """Return the row's key in the table; the parts are quoted to be unambiguous."""
         parts = (self.customer, self.service, self.key)
         return "/".join(quote(part, safe="") for part in parts)
 
 
 @dataclass(frozen=True, slots=True)
 class RecordedAnswer:
-    """A whole answer; `object_name` is set when the body is in the object store."""
+    """A complete answer; `object_name` is set if the body is in the object store."""
 
     status: int
     headers: tuple[tuple[str, str], ...] = ()
@@ -93,44 +93,44 @@
 
 @dataclass(frozen=True, slots=True)
 class Claim:
-    """One claim on a key; `id` differs for every claim that was ever tried."""
+    """One claim on a key; `id` is unique for every claim ever attempted."""
 
     key: ClaimKey
     id: str
     digest: str
-    """Digest of the method, path and body, to tell other work under this key."""
+    """Digest of the method, path and body, to detect different work under this key."""
     entry: str
     attempt: str
     """Request and attempt that hold the claim."""
     finish_by: datetime
-    """Wall-clock time after which the work is no longer awaited by its holder."""
+    """Wall-clock time after which the holder no longer waits for the work."""
     expires: datetime
     state: ClaimState = ClaimState.CLAIMED
     answer: RecordedAnswer | None = None
     revision: int = 0
-    """Revision of the row in which this claim stands; 0 before it is written."""
+    """Revision of the row that contains this claim; 0 before it is written."""
 
 
 class Verdict(StrEnum):
-    """What a request with an idempotency key may do."""
+    """What happens to a request with an idempotency key."""
 
     RUN = "run"
-    """The claim is granted: run the work."""
+    """The claim was granted: run the work."""
     REPLAY = "replay"
-    """Give the recorded answer."""
+    """Return the recorded answer."""
     JOIN = "join"
-    """Another attempt holds the claim; follow its row."""
+    """Another attempt holds the claim; wait for its row to change."""
     UNKNOWN = "unknown"
-    """The work may have run and nobody knows its answer."""
+    """The work may have run and its answer isn't known."""
     MISMATCH = "mismatch"
-    """The key was used for other work: 422."""
+    """The key was used for different work: respond with 422."""
     REFUSED = "refused"
-    """A true not-run: the claim could not be written in time."""
+    """The work has not run: the claim could not be written in time."""
 
 
 @dataclass(frozen=True, slots=True)
 class Judgement:
-    """A verdict with the claim, answer or refusal that belongs to it."""
+    """A decision with the claim, answer or refusal that belongs to it."""
 
     verdict: Verdict
     claim: Claim | None = None
@@ -140,13 +140,13 @@
 
 @dataclass(frozen=True, slots=True)
 class ClaimWrite:
-    """A claim in the state that its row shall get, on top of `claim.revision`."""
+    """A claim to be written over the revision `claim.revision` of its row."""
 
     claim: Claim
 
     @property
     def condition(self) -> Condition:
-        """Return the condition under which the write is right."""
+        """Return the condition under which the write may be applied."""
         return Condition(CLAIMS, self.claim.key.row_key, self.claim.revision)
 
     @property
@@ -156,47 +156,47 @@
 
 
 def judge_claim(wanted: Claim, row: Row | None, now: datetime) -> Judgement | Claim:
-    """Return what a request hears of the row, or its claim to write upon it.
+    """Return the decision that the row implies, or the claim to write over it.
 
-    `now` is the wall-clock time. A row that has expired is taken over only
-    `CLOCK_SKEW` later, since the entry that wrote it may be ahead or behind.
+    `now` is the wall-clock time. An expired row is taken over only `CLOCK_SKEW` later,
+    since the clock of the entry that wrote it may be ahead or behind.
     """
     if row is None:
         return replace(wanted, revision=0)
     held = decode_claim(wanted.key, row)
     if held.id == wanted.id:
-        # The answer to our own write was lost: the row shows that it was applied.
-        return _judge_own(held)
+        # The response to our own write was lost: the row shows that it was applied.
+        return _resolve_own(held)
     if now >= held.expires + CLOCK_SKEW:
         return replace(wanted, revision=row.revision)
     if held.digest != wanted.digest:
         return Judgement(Verdict.MISMATCH, held)
-    return _judge_other(wanted, held, now)
+    return _resolve_other(wanted, held, now)
 
 
-def _judge_own(held: Claim) -> Judgement:
+def _resolve_own(held: Claim) -> Judgement:
     if held.state is ClaimState.CLAIMED:
         return Judgement(Verdict.RUN, held)
     return Judgement(Verdict.UNKNOWN, held)
 
 
-def _judge_other(wanted: Claim, held: Claim, now: datetime) -> Judgement | Claim:
+def _resolve_other(wanted: Claim, held: Claim, now: datetime) -> Judgement | Claim:
     if held.state is ClaimState.NOT_RUN:
         return replace(wanted, revision=held.revision)
     if held.state is ClaimState.ANSWERED:
         return Judgement(Verdict.REPLAY, held, held.answer)
     if held.state is ClaimState.UNKNOWN or now >= held.finish_by + CLOCK_SKEW:
-        # Its holder died: whoever still waits gets the final word at once.
+        # The holder has died: requests that still wait are answered immediately.
         return Judgement(Verdict.UNKNOWN, held)
     return Judgement(Verdict.JOIN, held)
 
 
 def settle_write(wanted: Claim, row: Row | None) -> Claim | None:
-    """Return the amended claim to write upon the row, or None when settled.
+    """Return the claim to write over the row's revision, or None if none is needed.
 
-    For writes that end a claim: an answer, an unknown or a not-run. A claim that
-    was given up before its own write was known to be applied has revision 0; its
-    not-run is then inserted, so that the delayed write finds a row and fails.
+    For writes that end a claim: an answer, an unknown or a not-run. A claim that was
+    abandoned before its own write was confirmed has revision 0; its not-run is then
+    inserted, so that the delayed write conflicts with that row and fails.
     """
     if row is None:
         return wanted if wanted.revision == 0 else None
@@ -207,7 +207,7 @@
 
 
 def group_writes(writes: Iterable[ClaimWrite]) -> Transaction:
-    """Return one transaction for writes of different keys."""
+    """Combine writes of different keys into one transaction."""
     writes = tuple(writes)
     return Transaction(
         tuple(item.condition for item in writes), tuple(item.write for item in writes)
@@ -217,30 +217,31 @@
 def split_conflict(
     writes: Sequence[ClaimWrite], rows: Sequence[Row | None]
 ) -> tuple[list[tuple[ClaimWrite, Row]], list[ClaimWrite], list[ClaimWrite]]:
-    """Split writes of a conflict: met by a row, doubtful, and to be tried again.
+    """Split conflicting writes: those with a row, ambiguous ones, ones to retry.
 
-    A conflict names only the rows of failed conditions, and an absent row has no
-    name. Where one was absent, each write that expected a row is doubtful until it
-    is tried alone; a lone write has no doubt, so it is not split.
+    A conflict contains only the rows of failed conditions, and an absent row has no
+    key. If one was absent, each write that expected a row is ambiguous until it is
+    tried alone; a single write is never ambiguous, so it need not be split.
     """
     present = {row.key: row for row in rows if row is not None}
     absent = any(row is None for row in rows)
-    met, doubtful, others = [], [], []
+    existing, ambiguous, retried = [], [], []
     for item in writes:
         row = present.get(item.claim.key.row_key)
         if row is not None:
-            met.append((item, row))
+            existing.append((item, row))
         elif absent and item.claim.revision > 0:
-            doubtful.append(item)
+            ambiguous.append(item)
         else:
-            others.append(item)
-    return met, doubtful, others
+            retried.append(item)
+    return existing, ambiguous, retried
 
 
 def plan_expiry(rows: Iterable[Row], now: datetime, limit: int = 100) -> Transaction:
-    """Return the deletion of rows that expired, on the condition they stay so.
+    """Return a transaction that deletes expired rows unless they change meanwhile.
 
-    Twice `CLOCK_SKEW` after the expiry, so that no entry still replays them.
+    Rows are deleted twice `CLOCK_SKEW` after they expire, when no entry replays them
+    any more.
     """
     expired = [row for row in rows if now >= _read_expiry(row) + 2 * CLOCK_SKEW]
     chosen = expired[:limit]
@@ -272,7 +273,7 @@
 
 
 def decode_claim(key: ClaimKey, row: Row) -> Claim:
-    """Return the claim that stands in a row."""
+    """Return the claim that a row contains."""
     value = row.value
     return Claim(
         key=key,
@@ -289,7 +290,7 @@
 
 
 def describe_claim(claim: Claim) -> Value:
-    """Return a written claim as JSON, for the process that is to run its work."""
+    """Return a written claim as JSON, for the process that will run its work."""
     key = claim.key
     return {
         "customer": key.customer,
@@ -301,7 +302,7 @@
 
 
 def restore_claim(described: Value) -> Claim:
-    """Return the claim that `describe_claim` described."""
+    """Return the claim from the output of `describe_claim`."""
     key = ClaimKey(described["customer"], described["service"], described["key"])
     row = Row(CLAIMS, key.row_key, described["value"], described["revision"])
     return decode_claim(key, row)
--- a/packages/mustardquay/src/mustardquay/quarantines.py
+++ b/packages/mustardquay/src/mustardquay/quarantines.py
@@ -1,14 +1,14 @@
-"""Quarantines: requests that crash the upstreams which run them.
+"""Quarantine: requests that crash the upstreams which run them.
 
-Work is known by the fingerprint of its body, so that it is recognised when its
-caller sends it again. Each crash of an engine accuses all that was in flight. An
-accused fingerprint is a suspect: it runs on one upstream at a time. A second crash
-makes it refused everywhere for a time; an answer clears it.
+Requests are identified by the fingerprint of their body, so that a repeated request
+is recognised. When an engine crashes, every request that was in flight becomes a
+suspect: it runs on one upstream at a time. After a second crash the fingerprint is
+refused everywhere for a time; an answer clears it.
 
-No process has authority over this. Records are grow-only sets of crashes and of
-cleared crashes, so that any order of merges gives the same result; all processes
-choose the same upstream for a suspect by rendezvous hashing, and the agent there,
-through which every entry's attempts must pass, runs one suspect at a time.
+There is no central authority. Records are grow-only sets of crashes and of cleared
+crashes, so that merging in any order gives the same result; all processes choose the
+same upstream for a suspect by rendezvous hashing, and the agent there, which handles
+the attempts of every entry, runs one suspect at a time.
 
 Rendezvous hashing: Thaler and Ravishankar, "Using name-based mappings to increase
 hit rates", 1998. Merged sets: Shapiro et al., "Conflict-free replicated data types",
@@ -33,15 +33,15 @@
     "choose_suspect_upstream",
 ]
 
-FLOOR = timedelta(seconds=5)
-"""Records that end sooner are not taken over: two peers that forget a record at
-slightly different times would else hand it to and fro for ever."""
+MINIMUM_REMAINING = timedelta(seconds=5)
+"""Records with less time remaining are not merged: two peers that drop a record at
+slightly different times would otherwise send it back and forth forever."""
 
 Key = tuple[str, int]
 
 
 class Standing(StrEnum):
-    """What is held against a fingerprint."""
+    """Whether a fingerprint may run."""
 
     CLEAR = "clear"
     SUSPECT = "suspect"
@@ -50,7 +50,7 @@
 
 @dataclass(frozen=True, slots=True, order=True)
 class CrashId:
-    """One crash: the upstream, and the boot of its engine that ended."""
+    """One crash: the upstream, and the boot of its engine that crashed."""
 
     upstream: str
     boot: str
@@ -58,17 +58,17 @@
 
 @dataclass(frozen=True, slots=True)
 class CrashRecord:
-    """What one process tells another of a fingerprint, in a heartbeat."""
+    """The record of one fingerprint, as heartbeats carry it between processes."""
 
     fingerprint: int
     crashes: frozenset[CrashId]
     cleared: frozenset[CrashId]
     remaining: timedelta
-    """How long the record still counts, as clocks are not shared."""
+    """Time until the record expires; a duration, as processes don't share a clock."""
 
 
 @dataclass(slots=True)
-class _Entry:
+class _FingerprintRecord:
     crashes: set[CrashId]
     cleared: set[CrashId]
     until: timedelta
@@ -76,12 +76,12 @@
 
 
 class Quarantine:
-    """The fingerprints that one process knows from crashes.
+    """The fingerprints recorded at one process because of crashes.
 
-    Guards against a request that crashes each engine it meets while its caller
-    sends it again: it shows as engines that fail one after the other. The crash is
-    told at once over every link, to entries and on to agents; what the agents know
-    decides, so that repeats through other entries meet the same rule.
+    Guards against a request that crashes every engine it runs on while its caller
+    retries it; the symptom is engines failing one after the other. A crash is sent
+    immediately over every link, to entries and from there to agents. The records of
+    the agents decide, so that retries through other entries get the same decision.
     """
 
     def __init__(
@@ -92,39 +92,43 @@
         crashes: int = 8,
         refused_after: int = 2,
     ):
-        """Take how long records count; `refused_after` crashes end in refusal."""
+        """Set the limits of the records.
+
+        Suspects are kept for `suspicion`; after `refused_after` crashes a fingerprint
+        is refused for `refusal`.
+        """
         self._refused_after = refused_after
         self._suspicion = suspicion
         self._refusal = refusal
         self._capacity = capacity
         self._crashes = crashes
-        self._entries: dict[int, _Entry] = {}
+        self._records: dict[int, _FingerprintRecord] = {}
         self._version = 0
 
     def __len__(self) -> int:
-        return len(self._entries)
+        return len(self._records)
 
     def note_crash(
         self, crash: CrashId, fingerprints: Iterable[int], now: timedelta
     ) -> None:
-        """Accuse all that was in flight when an engine crashed."""
+        """Record an engine crash and the fingerprints that were in flight."""
         for fingerprint in fingerprints:
             self._merge(fingerprint, {crash}, set(), now + self._suspicion, now)
 
     def note_answer(self, fingerprint: int, now: timedelta) -> None:
-        """Clear a suspect that an engine has run to its end.
+        """Clear a suspect after an engine has answered it.
 
-        A refused fingerprint stays refused: it may have crashed two engines while
-        a third happened to survive it.
+        A refused fingerprint stays refused: it may have crashed two engines while a
+        third one happened to survive it.
         """
-        entry = self._entries.get(fingerprint)
+        entry = self._records.get(fingerprint)
         if entry is None or self.judge(fingerprint, now) is not Standing.SUSPECT:
             return
         self._merge(fingerprint, set(), set(entry.crashes), entry.until, now)
 
     def judge(self, fingerprint: int, now: timedelta) -> Standing:
-        """Return what is held against the fingerprint now."""
-        entry = self._entries.get(fingerprint)
+        """Return whether the fingerprint is clear, a suspect or refused now."""
+        entry = self._records.get(fingerprint)
         if entry is None or entry.until <= now:
             return Standing.CLEAR
         counted = len(entry.crashes - entry.cleared)
@@ -134,19 +138,19 @@
         return Standing.REFUSED if is_refused else Standing.SUSPECT
 
     def refuse(self, fingerprint: int, now: timedelta) -> Refusal | None:
-        """Return the refusal of a fingerprint that is refused, or None."""
+        """Return a refusal if the fingerprint is refused, else None."""
         if self.judge(fingerprint, now) is not Standing.REFUSED:
             return None
         return Refusal(
             Reason.QUARANTINE,
             f"This request was in flight in {self._refused_after} crashes of engines; "
             "change it, or send it again when the quarantine ends.",
-            self._entries[fingerprint].until - now,
+            self._records[fingerprint].until - now,
         )
 
     def list_crashed(self, fingerprint: int) -> frozenset[str]:
-        """Return the upstreams that the fingerprint was seen to crash."""
-        entry = self._entries.get(fingerprint)
+        """Return the upstreams that crashed while the fingerprint was in flight."""
+        entry = self._records.get(fingerprint)
         if entry is None:
             return frozenset()
         return frozenset(crash.upstream for crash in entry.crashes - entry.cleared)
@@ -154,12 +158,12 @@
     def list_changes(
         self, since: int, now: timedelta, limit: int = 100
     ) -> tuple[tuple[CrashRecord, ...], int]:
-        """Return at most `limit` records changed behind version `since`, and the
-        version up to which the peer then knows all; 0 starts a new link.
+        """Return at most `limit` records that changed after version `since`, and the
+        version up to which the peer is then current; 0 is for a new link.
         """
         changed = [
             (entry.version, fingerprint, entry)
-            for fingerprint, entry in self._entries.items()
+            for fingerprint, entry in self._records.items()
             if entry.version > since and entry.until > now
         ]
         changed.sort(key=lambda item: item[0])
@@ -178,10 +182,10 @@
         return records, self._version
 
     def merge(self, records: Iterable[CrashRecord], now: timedelta) -> bool:
-        """Take in a peer's records; True when something was news, to pass on."""
+        """Merge a peer's records; return True if any of them was new."""
         before = self._version
         for record in records:
-            if record.remaining < FLOOR:
+            if record.remaining < MINIMUM_REMAINING:
                 continue
             remaining = min(record.remaining, self._refusal)
             crashes = set(record.crashes)
@@ -197,56 +201,56 @@
         until: timedelta,
         now: timedelta,
     ) -> None:
-        entry = self._entries.get(fingerprint)
+        entry = self._records.get(fingerprint)
         is_new = entry is None or entry.until <= now
         if is_new:
-            entry = _Entry(set(), set(), until, 0)
+            entry = _FingerprintRecord(set(), set(), until, 0)
         if crashes <= entry.crashes and cleared <= entry.cleared:
-            # Known already: the time is kept too, or two peers that repeat a
-            # record to each other would extend it for ever.
+            # Nothing new: the expiry is not extended either, or two peers that send
+            # a record to each other repeatedly would extend it forever.
             return
         counted = len(entry.crashes - entry.cleared)
         entry.crashes |= crashes
         entry.cleared |= cleared
-        self._bound(entry)
+        self._limit_crashes(entry)
         entry.until = max(entry.until, until)
         now_counted = len(entry.crashes - entry.cleared)
         if not is_new and counted < self._refused_after <= now_counted:
             entry.until = max(entry.until, now + self._refusal)
         self._version += 1
         entry.version = self._version
-        self._entries[fingerprint] = entry
-        self._make_room(now)
+        self._records[fingerprint] = entry
+        self._evict(now)
 
-    def _bound(self, entry: _Entry) -> None:
+    def _limit_crashes(self, entry: _FingerprintRecord) -> None:
         if len(entry.crashes) <= self._crashes:
             return
         kept = sorted(entry.crashes - entry.cleared)[: self._crashes]
         entry.crashes = set(kept)
         entry.cleared &= entry.crashes
 
-    def _make_room(self, now: timedelta) -> None:
-        if len(self._entries) <= self._capacity:
+    def _evict(self, now: timedelta) -> None:
+        if len(self._records) <= self._capacity:
             return
         for fingerprint in [
-            key for key, entry in self._entries.items() if entry.until <= now
+            key for key, entry in self._records.items() if entry.until <= now
         ]:
-            del self._entries[fingerprint]
-        while len(self._entries) > self._capacity:
-            # Suspects go first: what is refused has been seen twice.
-            weakest = min(self._entries, key=self._weigh)
-            del self._entries[weakest]
-
-    def _weigh(self, fingerprint: int) -> tuple[int, int]:
-        entry = self._entries[fingerprint]
+            del self._records[fingerprint]
+        while len(self._records) > self._capacity:
+            # Suspects are evicted first: refused fingerprints have two crashes.
+            weakest = min(self._records, key=self._get_eviction_key)
+            del self._records[weakest]
+
+    def _get_eviction_key(self, fingerprint: int) -> tuple[int, int]:
+        entry = self._records[fingerprint]
         return (min(len(entry.crashes - entry.cleared), 2), entry.version)
 
 
 class SuspectGate:
-    """Lets one suspect at a time run on the engine beside an agent.
+    """Lets one suspect at a time run on the engine of an agent.
 
-    If two suspects ran together, a crash would accuse both a second time, and the
-    innocent one would be refused with the guilty.
+    If two suspects ran concurrently, a crash would count for both of them, and a
+    harmless request would be refused together with the one that causes the crashes.
     """
 
     def __init__(self):
@@ -254,18 +258,18 @@
 
     @property
     def running(self) -> Key | None:
-        """Return the attempt of the suspect that runs."""
+        """Return the attempt of the running suspect."""
         return self._running
 
     def admit(self, key: Key) -> bool:
-        """Start a suspect; False while another one runs."""
+        """Start a suspect; return False while another one runs."""
         if self._running not in (None, key):
             return False
         self._running = key
         return True
 
     def finish(self, key: Key) -> None:
-        """Note that an attempt has ended, also when it was no suspect."""
+        """Record the end of an attempt, which need not be of a suspect."""
         if self._running == key:
             self._running = None
 
@@ -275,17 +279,19 @@
 ) -> str | None:
     """Return the only upstream that may run a suspect, the same for every entry.
 
-    `upstreams` are the names that may run the work by the instance list, whether or
-    not this entry reaches them: entries that cut off different upstreams would
-    otherwise choose different ones. `crashed` are those of the shared record; they
-    may still be starting. If the chosen one can't be reached the work waits or is
-    refused; it does not go to the next.
+    `upstreams` are all that may run the work according to the instance list, whether
+    or not this entry can reach them: entries that can't reach different upstreams
+    would otherwise choose different ones. `crashed` are those in the shared record;
+    they may still be starting. If the chosen one is unreachable, the work waits or is
+    refused; it is not sent to another.
     """
     candidates = set(upstreams) - set(crashed) or set(upstreams)
     if not candidates:
         return None
-    return max(candidates, key=lambda name: (_score(fingerprint, name), name))
+    return max(
+        candidates, key=lambda name: (_rendezvous_score(fingerprint, name), name)
+    )
 
 
-def _score(fingerprint: int, name: str) -> int:
+def _rendezvous_score(fingerprint: int, name: str) -> int:
     return xxh3_64_intdigest(f"{fingerprint}/{name}".encode())
--- a/packages/mustardquay/src/mustardquay/tombstones.py
+++ b/packages/mustardquay/src/mustardquay/tombstones.py
@@ -1,20 +1,21 @@
-"""Tombstones: attempts that an agent has affirmed it never started and never will.
+"""Tombstones: attempts that an agent confirmed it has not started and never will.
 
 An entry that lost its link asks over a new one whether an attempt was started. If
-not, the agent writes a tombstone and affirms it, and the entry may say `not-run`.
-The frame of the attempt may still be on its way; it must never be run. Three
-guards, in the order in which they work:
+not, the agent writes a tombstone and confirms it, and the entry may report `not-run`.
+The frame of the attempt may still be in transit; it must never be run. Three
+safeguards, in the order in which they apply:
 
-1. The entry gives its links rising numbers, and an agent that accepts a link closes
-   the entry's older ones and reads nothing more from them. A frame on an older link
+1. The entry numbers its links in ascending order, and an agent that accepts a link
+   closes the entry's older ones and stops reading from them. A frame on an older link
    is lost with it.
-2. A frame that was read already, and waits inside the agent, meets the tombstone.
-3. An agent that restarted has another incarnation and refuses frames that name the
-   old one, so that tombstones need not outlive their process.
+2. A frame that was already read, and is queued inside the agent, is checked against
+   the tombstones.
+3. A restarted agent has a new incarnation and refuses frames for the old one, so that
+   tombstones need not outlive their process.
 
 So a tombstone is needed only while a frame can pass through the process. Its
-retention is a generous multiple of that, in time during which the process ran: an
-agent that was paused for an hour finds its tombstones as old as before, though its
+retention is a generous multiple of that, counted in time during which the process
+ran: after an agent was paused for an hour, its tombstones have not aged, because its
 socket may hold frames from before the pause.
 """
 
@@ -26,7 +27,7 @@
 
 
 class Tombstones:
-    """The tombstones of one agent incarnation, bounded in number and time."""
+    """The tombstones of one agent incarnation, bounded in number and retention."""
 
     def __init__(
         self,
@@ -40,41 +41,41 @@
         self._capacity = capacity
         self._last = now
         self._age = timedelta()
-        self._buried: OrderedDict[Hashable, timedelta] = OrderedDict()
+        self._entries: OrderedDict[Hashable, timedelta] = OrderedDict()
 
     def __len__(self) -> int:
-        return len(self._buried)
+        return len(self._entries)
 
     def bury(self, key: Hashable, now: timedelta) -> bool:
-        """Keep a tombstone; False when there is no room to promise it.
+        """Store a tombstone; return False if the capacity is exhausted.
 
-        Without room the agent must not affirm: the attempt's outcome is unknown.
-        No tombstone is dropped early to make room for another.
+        The agent must then not confirm: the outcome of the attempt is unknown. No
+        tombstone is dropped early to make room for another.
         """
         self.tick(now)
-        if key not in self._buried and len(self._buried) >= self._capacity:
+        if key not in self._entries and len(self._entries) >= self._capacity:
             return False
-        self._buried[key] = self._age
-        self._buried.move_to_end(key)
+        self._entries[key] = self._age
+        self._entries.move_to_end(key)
         return True
 
     def holds(self, key: Hashable, now: timedelta) -> bool:
-        """Return whether the attempt must not be started."""
+        """Return whether the attempt has a tombstone and must not be started."""
         self.tick(now)
-        return key in self._buried
+        return key in self._entries
 
     def tick(self, now: timedelta) -> None:
-        """Count time that the process ran; call it at least once a `step`.
+        """Advance the time that the process ran; call this at least once per `step`.
 
-        A gap above `step` was a pause, in which frames stood still as well: it
-        counts as one step, or a tombstone would expire before a frame that the
-        socket kept through the pause.
+        A gap longer than `step` was a pause of the process, in which no frames were
+        read either. It counts as one step; otherwise a tombstone could expire before
+        a frame that the socket held during the pause is read.
         """
         elapsed = max(now - self._last, timedelta())
         self._last = max(now, self._last)
         self._age += min(elapsed, self._step)
-        while self._buried:
-            key, buried = next(iter(self._buried.items()))
-            if self._age - buried < self._retention:
+        while self._entries:
+            key, added_at = next(iter(self._entries.items()))
+            if self._age - added_at < self._retention:
                 break
-            del self._buried[key]
+            del self._entries[key]
