--- a/packages/mustardquay/src/mustardquay/quarantines.py
+++ b/packages/mustardquay/src/mustardquay/quarantines.py
@@ -121,17 +121,17 @@
         A refused fingerprint stays refused: it may have crashed two engines while a
         third one happened to survive it.
         """
-        entry = self._records.get(fingerprint)
-        if entry is None or self.judge(fingerprint, now) is not Standing.SUSPECT:
+        record = self._records.get(fingerprint)
+        if record is None or self.judge(fingerprint, now) is not Standing.SUSPECT:
             return
-        self._merge(fingerprint, set(), set(entry.crashes), entry.until, now)
+        self._merge(fingerprint, set(), set(record.crashes), record.until, now)
 
     def judge(self, fingerprint: int, now: timedelta) -> Standing:
         """Return whether the fingerprint is clear, a suspect or refused now."""
-        entry = self._records.get(fingerprint)
-        if entry is None or entry.until <= now:
+        record = self._records.get(fingerprint)
+        if record is None or record.until <= now:
             return Standing.CLEAR
-        counted = len(entry.crashes - entry.cleared)
+        counted = len(record.crashes - record.cleared)
         if counted == 0:
             return Standing.CLEAR
         is_refused = counted >= self._refused_after
@@ -150,10 +150,10 @@
 
     def list_crashed(self, fingerprint: int) -> frozenset[str]:
         """Return the upstreams that crashed while the fingerprint was in flight."""
-        entry = self._records.get(fingerprint)
-        if entry is None:
+        record = self._records.get(fingerprint)
+        if record is None:
             return frozenset()
-        return frozenset(crash.upstream for crash in entry.crashes - entry.cleared)
+        return frozenset(crash.upstream for crash in record.crashes - record.cleared)
 
     def list_changes(
         self, since: int, now: timedelta, limit: int = 100
@@ -162,20 +162,20 @@
         version up to which the peer is then current; 0 is for a new link.
         """
         changed = [
-            (entry.version, fingerprint, entry)
-            for fingerprint, entry in self._records.items()
-            if entry.version > since and entry.until > now
+            (record.version, fingerprint, record)
+            for fingerprint, record in self._records.items()
+            if record.version > since and record.until > now
         ]
         changed.sort(key=lambda item: item[0])
         chosen = changed[:limit]
         records = tuple(
             CrashRecord(
                 fingerprint,
-                frozenset(entry.crashes),
-                frozenset(entry.cleared),
-                entry.until - now,
+                frozenset(record.crashes),
+                frozenset(record.cleared),
+                record.until - now,
             )
-            for _, fingerprint, entry in chosen
+            for _, fingerprint, record in chosen
         )
         if len(changed) > limit:
             return records, chosen[-1][0]
@@ -201,39 +201,39 @@
         until: timedelta,
         now: timedelta,
     ) -> None:
-        entry = self._records.get(fingerprint)
-        is_new = entry is None or entry.until <= now
+        record = self._records.get(fingerprint)
+        is_new = record is None or record.until <= now
         if is_new:
-            entry = _FingerprintRecord(set(), set(), until, 0)
-        if crashes <= entry.crashes and cleared <= entry.cleared:
+            record = _FingerprintRecord(set(), set(), until, 0)
+        if crashes <= record.crashes and cleared <= record.cleared:
             # Nothing new: the expiry is not extended either, or two peers that send
             # a record to each other repeatedly would extend it forever.
             return
-        counted = len(entry.crashes - entry.cleared)
-        entry.crashes |= crashes
-        entry.cleared |= cleared
-        self._limit_crashes(entry)
-        entry.until = max(entry.until, until)
-        now_counted = len(entry.crashes - entry.cleared)
+        counted = len(record.crashes - record.cleared)
+        record.crashes |= crashes
+        record.cleared |= cleared
+        self._limit_crashes(record)
+        record.until = max(record.until, until)
+        now_counted = len(record.crashes - record.cleared)
         if not is_new and counted < self._refused_after <= now_counted:
-            entry.until = max(entry.until, now + self._refusal)
+            record.until = max(record.until, now + self._refusal)
         self._version += 1
-        entry.version = self._version
-        self._records[fingerprint] = entry
+        record.version = self._version
+        self._records[fingerprint] = record
         self._evict(now)
 
-    def _limit_crashes(self, entry: _FingerprintRecord) -> None:
-        if len(entry.crashes) <= self._crashes:
+    def _limit_crashes(self, record: _FingerprintRecord) -> None:
+        if len(record.crashes) <= self._crashes:
             return
-        kept = sorted(entry.crashes - entry.cleared)[: self._crashes]
-        entry.crashes = set(kept)
-        entry.cleared &= entry.crashes
+        kept = sorted(record.crashes - record.cleared)[: self._crashes]
+        record.crashes = set(kept)
+        record.cleared &= record.crashes
 
     def _evict(self, now: timedelta) -> None:
         if len(self._records) <= self._capacity:
             return
         for fingerprint in [
-            key for key, entry in self._records.items() if entry.until <= now
+            key for key, record in self._records.items() if record.until <= now
         ]:
             del self._records[fingerprint]
         while len(self._records) > self._capacity:
@@ -242,8 +242,8 @@
             del self._records[weakest]
 
     def _get_eviction_key(self, fingerprint: int) -> tuple[int, int]:
-        entry = self._records[fingerprint]
-        return (min(len(entry.crashes - entry.cleared), 2), entry.version)
+        record = self._records[fingerprint]
+        return (min(len(record.crashes - record.cleared), 2), record.version)
 
 
 class SuspectGate:
