--- a/benchmarks/decision_costs.py
+++ b/benchmarks/decision_costs.py
@@ -15,7 +15,7 @@
 from mustardquay.admissions import UsageMeter
 from mustardquay.caches import PrefixIndex
 from mustardquay.queues import FairQueue
-from mustardquay.routes import choose_upstream
+from mustardquay.upstream_selection import choose_upstream
 from mustardquay.works import UpstreamView, Work
 
 __all__ = ["Cost", "run"]
--- a/benchmarks/policies.py
+++ b/benchmarks/policies.py
@@ -14,7 +14,7 @@
 from mustardquay.admissions import UsageMeter
 from mustardquay.queues import FairQueue
 from mustardquay.roles import RolePlanner, RoleRates, RoleSettings
-from mustardquay.routes import choose_upstream
+from mustardquay.upstream_selection import choose_upstream
 from mustardquay.works import Role
 
 from .baselines import (
--- a/packages/mustardquay-node/src/mustardquay_node/configuration_intakes.py
+++ b/packages/mustardquay-node/src/mustardquay_node/configuration_intakes.py
@@ -8,7 +8,7 @@
 from mustardquay.errors import ProtocolError
 from mustardquay.events import EventRing
 from mustardquay.routing_tables import RoutingTable
-from mustardquay.version_books import TableState, VersionBook
+from mustardquay.version_trackers import TableState, VersionBook
 
 from .adapters import Adapter, StoreRow
 
--- a/packages/mustardquay-node/src/mustardquay_node/digest_frames.py
+++ b/packages/mustardquay-node/src/mustardquay_node/digest_frames.py
@@ -17,8 +17,8 @@
     trim_ranks,
 )
 from mustardquay.quarantines import CrashId, CrashRecord
-from mustardquay.rate_divisions import ServiceDemand
 from mustardquay.rate_limits import LimitNotice
+from mustardquay.rate_shares import ServiceDemand
 
 __all__ = ["decode_digest", "encode_digest"]
 
--- a/packages/mustardquay-node/src/mustardquay_node/dispatchers.py
+++ b/packages/mustardquay-node/src/mustardquay_node/dispatchers.py
@@ -27,7 +27,7 @@
 from mustardquay.predictions import RateEstimator
 from mustardquay.quarantines import Quarantine, Standing, choose_suspect_upstream
 from mustardquay.retries import RetryBudget, choose_backoff
-from mustardquay.routes import choose_upstream
+from mustardquay.upstream_selection import choose_upstream
 from mustardquay.works import UpstreamView, Work
 
 from .dialers import Dialer
--- a/packages/mustardquay-node/src/mustardquay_node/forwarder_parts.py
+++ b/packages/mustardquay-node/src/mustardquay_node/forwarder_parts.py
@@ -9,12 +9,12 @@
 from mustardquay.clocks import Clock
 from mustardquay.events import EventRing
 from mustardquay.rate_limits import LimitBook
+from mustardquay.retry_decisions import Sendings
 from mustardquay.route_times import RouteTimes
 from mustardquay.routing_tables import Route
-from mustardquay.sendings import Sendings
 from mustardquay.upstream_lists import UpstreamList
 from mustardquay.upstream_loads import LoadBook
-from mustardquay.version_books import TableState
+from mustardquay.version_trackers import TableState
 
 from .adapters import Adapter, RequestFacts
 from .caller_connections import CallerRequest
--- a/packages/mustardquay-node/src/mustardquay_node/forwardings.py
+++ b/packages/mustardquay-node/src/mustardquay_node/forwardings.py
@@ -2,7 +2,7 @@
 
 The stages are: what the request says and its route, its upstream, the send (`sends`,
 `handovers`), and what follows from how the send ended. Whether something is sent again
-is decided in `mustardquay.sendings`, where it goes in `placements` and
+is decided in `mustardquay.retry_decisions`, where it goes in `placements` and
 `upstream_loads`; what the caller is told is in `replies`.
 """
 
@@ -12,12 +12,17 @@
 
 from mustardquay.errors import ProtocolError
 from mustardquay.requests import SendEnd
+from mustardquay.retry_decisions import (
+    NextStep,
+    ReadingState,
+    count_repeats,
+    decide_next,
+)
 from mustardquay.routing_tables import Repeat, RoutingTable, choose_backend
-from mustardquay.sendings import NextStep, ReadingState, count_repeats, decide_next
 from mustardquay.stops import Demand
 from mustardquay.upstream_lists import UpstreamRecord
 from mustardquay.upstream_loads import choose_plain
-from mustardquay.version_books import TableState
+from mustardquay.version_trackers import TableState
 
 from .caller_connections import CallerAnswer, CallerRequest
 from .forwarder_parts import ForwardedRequest, ForwarderParts
--- a/packages/mustardquay-node/src/mustardquay_node/gateways.py
+++ b/packages/mustardquay-node/src/mustardquay_node/gateways.py
@@ -16,7 +16,7 @@
 from mustardquay.routing_tables import CallerLimits, RoutingTable
 from mustardquay.stops import BALANCER_NOTICE
 from mustardquay.upstream_lists import Stage, UpstreamRecord
-from mustardquay.version_books import TableState
+from mustardquay.version_trackers import TableState
 
 from .adapters import Adapter, load_adapter
 from .cache_surveys import CacheSurvey, CacheSurveyParts
--- a/packages/mustardquay-node/tests/test_peers.py
+++ b/packages/mustardquay-node/tests/test_peers.py
@@ -7,8 +7,8 @@
 from mustardquay.clocks import SystemClock
 from mustardquay.events import EventRing, HybridClock
 from mustardquay.peer_books import EngineDigest, PeerDigest, PlacedPart
-from mustardquay.rate_divisions import ServiceDemand
 from mustardquay.rate_limits import LimitNotice
+from mustardquay.rate_shares import ServiceDemand
 from mustardquay_node import digest_frames
 from mustardquay_node.adapters import StoreRow
 from mustardquay_node.digest_frames import decode_digest, encode_digest
--- a/packages/mustardquay/src/mustardquay/peer_books.py
+++ b/packages/mustardquay/src/mustardquay/peer_books.py
@@ -12,8 +12,8 @@
 
 from .engine_models import PoolSpeeds
 from .quarantines import CrashRecord
-from .rate_divisions import ServiceDemand
 from .rate_limits import LimitNotice
+from .rate_shares import ServiceDemand
 
 __all__ = [
     "DIGEST_LIFETIME",
--- a/packages/mustardquay/src/mustardquay/rate_limits.py
+++ b/packages/mustardquay/src/mustardquay/rate_limits.py
@@ -9,7 +9,7 @@
 from dataclasses import dataclass, field
 from datetime import timedelta
 
-from .rate_divisions import FleetDemand
+from .rate_shares import FleetDemand
 from .upstream_lists import UpstreamRecord
 
 __all__ = ["LimitBook", "LimitChange", "LimitNotice", "Turn"]
--- a/packages/mustardquay/tests/test_predictions.py
+++ b/packages/mustardquay/tests/test_predictions.py
@@ -13,7 +13,7 @@
     discount_queue,
 )
 from mustardquay.roles import RolePlanner, RoleRates, RoleSettings
-from mustardquay.routes import choose_upstream
+from mustardquay.upstream_selection import choose_upstream
 from mustardquay.works import Role, UpstreamView, Work
 
 CHECK = settings(derandomize=True, deadline=None, database=None, max_examples=60)
--- a/packages/mustardquay/tests/test_sendings.py
+++ b/packages/mustardquay/tests/test_retry_decisions.py
@@ -4,8 +4,8 @@
 import pytest
 
 from mustardquay.requests import SendEnd
+from mustardquay.retry_decisions import NextStep, Sendings, decide_next
 from mustardquay.routing_tables import Repeat, Route
-from mustardquay.sendings import NextStep, Sendings, decide_next
 
 SECOND = timedelta(seconds=1)
 ONCE = Route("r", "h", "/", Repeat.AT_MOST_ONCE, (), SECOND, SECOND, max_attempts=3)
--- a/packages/mustardquay/tests/test_version_books.py
+++ b/packages/mustardquay/tests/test_version_trackers.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from mustardquay.version_books import TableState, VersionBook
+from mustardquay.version_trackers import TableState, VersionBook
 
 
 def at(seconds):
