--- a/benchmarks/promises.py
+++ b/benchmarks/promises.py
@@ -22,7 +22,7 @@
     WaitBeforeRetry,
 )
 from mustardquay.attempts import RequestState
-from mustardquay.claims import ClaimKey, RecordedAnswer, Verdict
+from mustardquay.claims import ClaimDecision, ClaimKey, RecordedAnswer
 from mustardquay.errors import Reason
 from mustardquay.messages import Done, Failed, FailureKind, Head, Refused, Started
 from mustardquay.outcomes import Outcome
@@ -215,13 +215,13 @@
     clock = LoopClock(loop)
     tables = _Tables()
     random = Random(rate)
-    granted: Counter[Verdict] = Counter()
+    granted: Counter[ClaimDecision] = Counter()
 
     async def call(recorder: Recorder, number: int) -> None:
         until = clock.monotonic() + timedelta(seconds=10)
         key = ClaimKey("customer", "bookings", str(number))
         judged = await recorder.claim(key, "digest", f"{number}/1", until, until)
-        granted[judged.verdict] += 1
+        granted[judged.decision] += 1
         await asyncio.sleep(0.05)
         recorder.record_answer(judged.claim, RecordedAnswer(201))
 
@@ -239,7 +239,7 @@
 
     loop.run_until_complete(play())
     loop.close()
-    return granted[Verdict.RUN], tables.counters
+    return granted[ClaimDecision.RUN], tables.counters
 
 
 def run(short: bool = False, show: Callable[[str], None] = print) -> bool:
--- a/packages/mustardquay-node/src/mustardquay_node/claim_writers.py
+++ b/packages/mustardquay-node/src/mustardquay_node/claim_writers.py
@@ -16,14 +16,14 @@
 
 from mustardquay.claims import (
     Claim,
+    ClaimDecision,
+    ClaimResult,
     ClaimState,
     ClaimWrite,
-    Judgement,
-    Verdict,
     decode_claim,
     group_writes,
-    judge_claim,
-    settle_write,
+    rebase_final_write,
+    resolve_claim,
     split_conflict,
 )
 from mustardquay.clocks import Clock
@@ -47,7 +47,7 @@
     """A write that waits for its transaction."""
 
     claim: Claim
-    result: "asyncio.Future[Judgement | bool]"
+    result: "asyncio.Future[ClaimResult | bool]"
     begins: bool
     """Whether it makes a claim; otherwise it ends one."""
     unclear: bool = False
@@ -118,7 +118,7 @@
             logger.warning("%d claim writes were lost in the stop", len(self._waiting))
 
     def begin(self, claim: Claim) -> WaitingWrite:
-        """Queue a new claim; its result is a `Judgement`, which may be `JOIN`."""
+        """Queue a new claim; its result is a `ClaimResult`, which may be `JOIN`."""
         return self._queue(claim, begins=True)
 
     def end(self, claim: Claim) -> "asyncio.Future[bool]":
@@ -135,7 +135,7 @@
         item.abandoned = True
         if item.result.done():
             judged = item.result.result()
-            if judged.verdict is Verdict.RUN:
+            if judged.decision is ClaimDecision.RUN:
                 self._release(judged.claim)
         elif item not in self._in_flight:
             self._waiting.remove(item)
@@ -229,7 +229,7 @@
         for item, revision in zip(batch, result.revisions, strict=True):
             if item.begins:
                 claim = replace(item.claim, revision=revision)
-                self._settle_claim(item, Judgement(Verdict.RUN, claim))
+                self._settle_claim(item, ClaimResult(ClaimDecision.RUN, claim))
             else:
                 self._settle_end(item, True)
 
@@ -250,13 +250,13 @@
 
     def _note_row(self, item: WaitingWrite, row: Row | None) -> None:
         if item.begins:
-            judged = judge_claim(item.claim, row, self._clock.now())
-            if isinstance(judged, Judgement):
+            judged = resolve_claim(item.claim, row, self._clock.now())
+            if isinstance(judged, ClaimResult):
                 self._settle_claim(item, judged)
                 return
             item.claim = judged
         else:
-            amended = settle_write(item.claim, row)
+            amended = rebase_final_write(item.claim, row)
             if amended is None:
                 self._settle_end(item, _stands(item.claim, row))
                 return
@@ -264,11 +264,11 @@
         item.alone = False
         self._requeue([item])
 
-    def _settle_claim(self, item: WaitingWrite, judged: Judgement) -> None:
+    def _settle_claim(self, item: WaitingWrite, judged: ClaimResult) -> None:
         if not item.abandoned:
             if not item.result.done():
                 item.result.set_result(judged)
-        elif judged.verdict is Verdict.RUN:
+        elif judged.decision is ClaimDecision.RUN:
             self._release(judged.claim)
 
     def _settle_end(self, item: WaitingWrite, stands: bool) -> None:
--- a/packages/mustardquay-node/src/mustardquay_node/configuration_intakes.py
+++ b/packages/mustardquay-node/src/mustardquay_node/configuration_intakes.py
@@ -8,7 +8,7 @@
 from mustardquay.errors import ProtocolError
 from mustardquay.events import EventRing
 from mustardquay.routing_tables import RoutingTable
-from mustardquay.version_trackers import TableState, VersionBook
+from mustardquay.version_trackers import TableState, VersionTracker
 
 from .adapters import Adapter, StoreRow
 
@@ -38,7 +38,7 @@
         self._put = put
         self._list_others = list_others
         self._get_bound = get_bound
-        self._versions = VersionBook()
+        self._versions = VersionTracker()
 
     @property
     def version(self) -> int:
@@ -61,11 +61,11 @@
             return TableState.CURRENT
         others = self._list_others()
         now = self._clock.monotonic()
-        return self._versions.judge(others, self._get_bound(), now)
+        return self._versions.find_state(others, self._get_bound(), now)
 
     def hear(self, gateway: str, version: int) -> bool:
         """Take in the version of another gateway; returns whether it is newer."""
-        if self._versions.hear(version, self._clock.monotonic()):
+        if self._versions.note_version(version, self._clock.monotonic()):
             self._events.record(
                 "configuration.behind",
                 version=self.version,
@@ -103,7 +103,7 @@
             return
         lag = self.lag
         self._put(table)
-        self._versions.put(table.version)
+        self._versions.set_in_force(table.version)
         self._events.record(
             "configuration.in_force",
             version=table.version,
--- a/packages/mustardquay-node/src/mustardquay_node/crash_reporters.py
+++ b/packages/mustardquay-node/src/mustardquay_node/crash_reporters.py
@@ -15,7 +15,7 @@
 from mustardquay.clocks import Clock
 from mustardquay.crash_watches import CrashWatch
 from mustardquay.events import EventRing
-from mustardquay.quarantines import CrashRecord, Quarantine, Standing
+from mustardquay.quarantines import CrashRecord, FingerprintStatus, Quarantine
 from mustardquay.upstream_lists import UpstreamRecord
 
 __all__ = ["CrashReporter"]
@@ -53,7 +53,9 @@
     def is_refused(self, fingerprint: int) -> bool:
         """Return whether a request has crashed too many upstreams."""
         now = self._clock.monotonic()
-        return self._quarantine.judge(fingerprint, now) is Standing.REFUSED
+        return (
+            self._quarantine.find_status(fingerprint, now) is FingerprintStatus.REFUSED
+        )
 
     def note_broken(self, upstream: UpstreamRecord, fingerprint: int) -> None:
         """Note a send whose connection ended without a whole answer."""
--- a/packages/mustardquay-node/src/mustardquay_node/digests.py
+++ b/packages/mustardquay-node/src/mustardquay_node/digests.py
@@ -5,7 +5,7 @@
 
 from mustardquay.clocks import Clock
 from mustardquay.peer_books import PeerDigest
-from mustardquay.rate_limits import LimitBook
+from mustardquay.rate_limits import RateLimiter
 
 from .configuration_intakes import ConfigurationIntake
 from .crash_reporters import CrashReporter
@@ -25,7 +25,7 @@
     planner: GenerationPlanner
     stop: GatewayStop
     crashes: CrashReporter
-    limits: LimitBook
+    limits: RateLimiter
     configurations: ConfigurationIntake
     is_ready: Callable[[], bool]
     fetch_configuration: Callable[[], None]
@@ -53,14 +53,14 @@
         digest = parts.planner.build_digest(
             parts.name, self._incarnation, self._number, parts.configurations.version
         )
-        knows_limits = parts.limits.knows_any(now)
+        knows_limits = parts.limits.has_limits(now)
         return replace(
             digest,
             crashes=parts.crashes.list_news(),
             availability_zone=parts.availability_zone,
             is_ready=parts.is_ready(),
-            limits=parts.limits.tell(now),
-            demands=parts.limits.demand.tell(now) if knows_limits else None,
+            limits=parts.limits.list_notices(now),
+            demands=parts.limits.demand.list_demands(now) if knows_limits else None,
             ends_in=parts.stop.ends_in,
         )
 
@@ -81,11 +81,11 @@
     def note_listed(self, told: Collection[str], others: int) -> None:
         """Take in which gateways tell this one, and how many there are besides."""
         now = self._parts.clock.monotonic()
-        self._parts.limits.demand.list_gateways(told, others, now)
+        self._parts.limits.demand.set_gateways(told, others, now)
         self._parts.planner.note_listed(len(told), others)
 
     def _hear_limits(self, digest: PeerDigest) -> None:
         now = self._parts.clock.monotonic()
-        self._parts.limits.demand.hear(digest.gateway, digest.demands, now)
+        self._parts.limits.demand.apply_demands(digest.gateway, digest.demands, now)
         for notice in digest.limits:
-            self._parts.limits.hear_notice(notice, now)
+            self._parts.limits.apply_notice(notice, now)
--- a/packages/mustardquay-node/src/mustardquay_node/dispatchers.py
+++ b/packages/mustardquay-node/src/mustardquay_node/dispatchers.py
@@ -25,7 +25,11 @@
     Started,
 )
 from mustardquay.predictions import RateEstimator
-from mustardquay.quarantines import Quarantine, Standing, choose_suspect_upstream
+from mustardquay.quarantines import (
+    FingerprintStatus,
+    Quarantine,
+    choose_suspect_upstream,
+)
 from mustardquay.retries import RetryBudget, choose_backoff
 from mustardquay.upstream_selection import choose_upstream
 from mustardquay.works import UpstreamView, Work
@@ -188,7 +192,7 @@
         refusal = self._quarantine.refuse(fingerprint, now)
         if refusal is not None:
             return refusal
-        if self._quarantine.judge(fingerprint, now) is Standing.SUSPECT:
+        if self._quarantine.find_status(fingerprint, now) is FingerprintStatus.SUSPECT:
             return self._choose_for_suspect(call.work)
         zone = self._identity.availability_zone
         views = self.views
--- a/packages/mustardquay-node/src/mustardquay_node/executors.py
+++ b/packages/mustardquay-node/src/mustardquay_node/executors.py
@@ -11,7 +11,7 @@
 from mustardquay.errors import Reason, Refusal
 from mustardquay.events import EventRing
 from mustardquay.messages import Attempt, FailureKind, Reattach
-from mustardquay.quarantines import CrashId, Quarantine, Standing, SuspectGate
+from mustardquay.quarantines import CrashId, FingerprintStatus, Quarantine, SuspectGate
 from mustardquay.queues import FairQueue
 from mustardquay.tombstones import Tombstones
 
@@ -130,7 +130,7 @@
         run = Run(owner, attempt, work, link)
         if self._table.find(run.key) is not None:
             return
-        if self._tombstones.holds(run.key, now):
+        if self._tombstones.contains(run.key, now):
             # The entry has been told that this attempt will not run.
             return
         self._table.add(run)
@@ -160,7 +160,7 @@
         now = self._clock.monotonic()
         if self._table.may_be_forgotten(run.key):
             run.end_failed(FailureKind.LOST, "The run is no longer kept.", now)
-        elif not self._tombstones.bury(run.key, now):
+        elif not self._tombstones.add(run.key, now):
             run.end_failed(FailureKind.LOST, "There is no room to affirm it.", now)
         else:
             # The frame of the attempt can't come any more: it was sent on an older
@@ -277,7 +277,7 @@
         refusal = self._quarantine.refuse(fingerprint, now)
         if refusal is not None:
             return refusal
-        if self._quarantine.judge(fingerprint, now) is Standing.SUSPECT:
+        if self._quarantine.find_status(fingerprint, now) is FingerprintStatus.SUSPECT:
             self._suspects.append(run)
             return None
         return self._offer(run, now)
--- a/packages/mustardquay-node/src/mustardquay_node/forwarder_parts.py
+++ b/packages/mustardquay-node/src/mustardquay_node/forwarder_parts.py
@@ -8,8 +8,8 @@
 from mustardquay.answer_times import AnswerTimes
 from mustardquay.clocks import Clock
 from mustardquay.events import EventRing
-from mustardquay.rate_limits import LimitBook
-from mustardquay.retry_decisions import Sendings
+from mustardquay.rate_limits import RateLimiter
+from mustardquay.retry_decisions import SendHistory
 from mustardquay.route_times import RouteTimes
 from mustardquay.routing_tables import Route
 from mustardquay.upstream_lists import UpstreamList
@@ -39,7 +39,7 @@
     upstreams: UpstreamList
     pools: UpstreamPools
     loads: LoadBook
-    limits: LimitBook
+    limits: RateLimiter
     crashes: CrashReporter
     planner: GenerationPlanner
     stop: GatewayStop
@@ -68,7 +68,7 @@
     fingerprint: int
     begin_by: timedelta | None = None
     """When the first part of the answer is due at the latest; None for the limit."""
-    sendings: Sendings = field(default_factory=Sendings)
+    sendings: SendHistory = field(default_factory=SendHistory)
     avoid: set[str] = field(default_factory=set)
     """Upstreams that this request has been sent to."""
     current: Exchange | None = None
--- a/packages/mustardquay-node/src/mustardquay_node/forwardings.py
+++ b/packages/mustardquay-node/src/mustardquay_node/forwardings.py
@@ -14,12 +14,12 @@
 from mustardquay.requests import SendEnd
 from mustardquay.retry_decisions import (
     NextStep,
-    ReadingState,
+    PrefillState,
     count_repeats,
     decide_next,
 )
 from mustardquay.routing_tables import Repeat, RoutingTable, choose_backend
-from mustardquay.stops import Demand
+from mustardquay.stops import RequestEstimate
 from mustardquay.upstream_lists import UpstreamRecord
 from mustardquay.upstream_loads import choose_plain
 from mustardquay.version_trackers import TableState
@@ -159,9 +159,9 @@
     return True
 
 
-def _find_demand(parts: ForwarderParts, request: ForwardedRequest) -> Demand:
+def _find_demand(parts: ForwarderParts, request: ForwardedRequest) -> RequestEstimate:
     now = parts.clock.monotonic()
-    return Demand(
+    return RequestEstimate(
         request.measure_left(now),
         parts.times.find_longest(request.route.name, now),
         request.most_tokens,
@@ -192,7 +192,7 @@
                 return
             self._request.sendings.note(send.end)
             self._request.last_end = send.end.value
-            self._request.sendings.events_passed = self._reply.has_begun
+            self._request.sendings.has_sent_events = self._reply.has_begun
             if send.end is SendEnd.ANSWERED and send.passed:
                 self._sender.log(send, "answered")
                 self._reply.end_stream()
@@ -234,7 +234,7 @@
             upstream=request.upstream,
             passed=reply.passed,
             held_back=self._sender.holds_back,
-            sends=request.sendings.offered,
+            sends=request.sendings.attempts,
             age_ms=reply.age_ms,
             **request.incoming.describe_connection(),
         )
@@ -258,7 +258,7 @@
         Also if it did not come to its end: it is those that take the longest.
         """
         request = self._request
-        if request.expected is not None and request.sendings.offered <= 1:
+        if request.expected is not None and request.sendings.attempts <= 1:
             self._parts.answer_times.note(
                 request.route,
                 request.expected,
@@ -290,7 +290,7 @@
             parts.availability_zone,
             parts.random,
             request.avoid,
-            lambda record: parts.limits.expect_wait(record, now),
+            lambda record: parts.limits.predict_wait(record, now),
         )
         if upstream is None:
             return None
@@ -301,7 +301,7 @@
     ) -> Send | None:
         """Send once the upstream's rate limit allows it; None if that is too late."""
         parts, request = self._parts, self._request
-        turn_after = timedelta(seconds=parts.limits.expect_wait(upstream, now))
+        turn_after = timedelta(seconds=parts.limits.predict_wait(upstream, now))
         if turn_after > TURN_SHARE * request.route.latency_target:
             # Spread, so that those refused together don't meet again.
             back = turn_after * (1 + parts.random.random())
@@ -341,14 +341,14 @@
         window = self._parts.pools.get_window(request.service)
         return not sends or window.take(now, sends)
 
-    def _judge_reading(self) -> ReadingState:
+    def _judge_reading(self) -> PrefillState:
         """Tell what there is of the prompt's reading for another try."""
         parts, request = self._parts, self._request
         if request.reading is None:
-            return ReadingState.NONE
+            return PrefillState.NONE
         engines = parts.upstreams.list_usable(request.service)
         loss = parts.planner.find_loss(request.reading, engines, request.avoid)
-        return ReadingState.KEPT if loss is None else ReadingState.LOST
+        return PrefillState.KEPT if loss is None else PrefillState.LOST
 
     def _replace_step(self, send: Send) -> NextStep:
         """Return what happens where the allowance has no room for another send."""
--- a/packages/mustardquay-node/src/mustardquay_node/gateway_stops.py
+++ b/packages/mustardquay-node/src/mustardquay_node/gateway_stops.py
@@ -17,8 +17,8 @@
 )
 from mustardquay.peer_books import PeerDigest
 from mustardquay.stops import (
-    Demand,
-    StopPlace,
+    RequestEstimate,
+    StopContext,
     StopState,
     StopTimes,
     admit_request,
@@ -86,7 +86,7 @@
         """Take in what another gateway says of itself."""
         self._fleet.hear(digest, self._parts.clock.monotonic())
 
-    def admit(self, demand: Demand) -> timedelta | None:
+    def admit(self, demand: RequestEstimate) -> timedelta | None:
         """Return when a request that is taken must have begun; None if refused."""
         assert self._times is not None
         now = self._parts.clock.monotonic()
@@ -113,7 +113,7 @@
         self._parts.tell_peers()
         while (state := self._find_state()) is not StopState.CLOSED:
             self._enter(state)
-            if state is StopState.LAST_CALLS:
+            if state is StopState.DRAINING:
                 # Callers on open connections are sent to gateways that are ready; it
                 # costs them no attempt, as nothing was read from them.
                 self._parts.close_idle()
@@ -133,8 +133,8 @@
         place = self._find_place(self._fleet.list_members(now))
         return find_state(self._times, now, self._count(), place)
 
-    def _find_place(self, members: list[Member]) -> StopPlace:
-        return StopPlace(
+    def _find_place(self, members: list[Member]) -> StopContext:
+        return StopContext(
             is_needed(self._parts.availability_zone, members),
             is_next_to_end(self._parts.name, members),
         )
--- a/packages/mustardquay-node/src/mustardquay_node/gateway_upstreams.py
+++ b/packages/mustardquay-node/src/mustardquay_node/gateway_upstreams.py
@@ -7,7 +7,7 @@
 
 from mustardquay.clocks import Clock
 from mustardquay.events import EventRing
-from mustardquay.rate_limits import LimitBook
+from mustardquay.rate_limits import RateLimiter
 from mustardquay.retry_windows import RetryLimits
 from mustardquay.routing_tables import RoutingTable
 from mustardquay.uplinks import Uplink
@@ -52,7 +52,7 @@
         self._descriptors = DescriptorGuard(parts.clock, parts.events)
         self.list = UpstreamList()
         self.loads = LoadBook()
-        self.limits = LimitBook()
+        self.limits = RateLimiter()
         self.crashes = CrashReporter(parts.clock, parts.events)
         self.pools = UpstreamPools(
             parts.clock,
--- a/packages/mustardquay-node/src/mustardquay_node/gateways.py
+++ b/packages/mustardquay-node/src/mustardquay_node/gateways.py
@@ -14,7 +14,7 @@
 from mustardquay.clocks import Clock, SuspendClock, SystemClock
 from mustardquay.events import Event, EventRing, HybridClock
 from mustardquay.routing_tables import CallerLimits, RoutingTable
-from mustardquay.stops import BALANCER_NOTICE
+from mustardquay.stops import BALANCER_REMOVAL_DELAY
 from mustardquay.upstream_lists import Stage, UpstreamRecord
 from mustardquay.version_trackers import TableState
 
@@ -160,11 +160,11 @@
     def _warn_of_short_drain(self) -> None:
         """Tell the operator of a time to drain in which callers can't be moved."""
         timeout = self._settings.gateway.drain_timeout
-        if timeout < BALANCER_NOTICE:
+        if timeout < BALANCER_REMOVAL_DELAY:
             self._events.record(
                 "settings.short_drain",
                 drain_ms=timeout // timedelta(milliseconds=1),
-                least_ms=BALANCER_NOTICE // timedelta(milliseconds=1),
+                least_ms=BALANCER_REMOVAL_DELAY // timedelta(milliseconds=1),
                 remedy="Raise drain_timeout; callers come until the balancer notices.",
             )
 
--- a/packages/mustardquay-node/src/mustardquay_node/generators.py
+++ b/packages/mustardquay-node/src/mustardquay_node/generators.py
@@ -19,7 +19,7 @@
 from mustardquay.kept_readings import ReadingLoss, find_loss
 from mustardquay.peer_books import EngineDigest, PeerDigest, PlacedPart, trim_ranks
 from mustardquay.placements import Placement, choose_decoder, choose_engines
-from mustardquay.rate_limits import LimitBook, Turn
+from mustardquay.rate_limits import RateLimiter, Reservation
 from mustardquay.requests import PromptPart, PromptTraits
 from mustardquay.routing_tables import Route, RoutingTable
 from mustardquay.uplinks import Uplink
@@ -42,8 +42,8 @@
     is_read: bool = False
     is_running: bool = False
     """Whether it holds a place at the engine that generates."""
-    reader_turn: Turn | None = None
-    decoder_turn: Turn | None = None
+    reader_turn: Reservation | None = None
+    decoder_turn: Reservation | None = None
     """At the engine that generates, where another one reads."""
 
 
@@ -69,7 +69,7 @@
         loads: LoadBook,
         models: EngineModels | None = None,
         uplink: Uplink | None = None,
-        limits: LimitBook | None = None,
+        limits: RateLimiter | None = None,
         note_change: Callable[[], None] = lambda: None,
         random: Random | None = None,
     ):
@@ -80,7 +80,7 @@
         self._upstreams = upstreams
         self._uplink = uplink or Uplink()
         self._models = models or EngineModels()
-        self._limits = limits or LimitBook()
+        self._limits = limits or RateLimiter()
         self._books = EngineBooks(
             loads, WorkBook(), PrefixBook(), self._models, limits=self._limits
         )
@@ -104,7 +104,7 @@
         self._books.works.peers.expire(now)
         parts = hash_parts(prompt.parts)
         engines = self._drop_changing(engines)
-        sending = self._uplink.measure(size, now)
+        sending = self._uplink.predict_time(size, now)
         return choose_engines(
             prompt,
             parts,
@@ -153,7 +153,7 @@
     ) -> Ticket:
         """Note a placement that is carried out, of a request of `size` bytes."""
         sends = 1 if placement.prefiller is None else 2
-        self._uplink.take(size * sends, self._clock.monotonic())
+        self._uplink.enqueue(size * sends, self._clock.monotonic())
         reader = placement.reader.id
         self._add_reading(reader, placement.read_seconds, rank)
         self._models.note_placed(placement.reader.service, placement.read_seconds)
--- a/packages/mustardquay-node/src/mustardquay_node/handovers.py
+++ b/packages/mustardquay-node/src/mustardquay_node/handovers.py
@@ -48,7 +48,7 @@
             return await _hand_over(parts, request, sender, reading)
         finally:
             planner.end(reading.ticket)
-    if request.sendings.offered:
+    if request.sendings.attempts:
         placement = _choose(parts, request, prompt, engines)
         if placement is not None and not admits_turn(request.route, placement):
             return None
--- a/packages/mustardquay-node/src/mustardquay_node/rate_turns.py
+++ b/packages/mustardquay-node/src/mustardquay_node/rate_turns.py
@@ -3,14 +3,14 @@
 import asyncio
 from datetime import timedelta
 
-from mustardquay.rate_limits import Turn
+from mustardquay.rate_limits import Reservation
 
 from .forwarder_parts import ForwarderParts
 
 __all__ = ["await_turn"]
 
 
-async def await_turn(parts: ForwarderParts, turn: Turn) -> None:
+async def await_turn(parts: ForwarderParts, turn: Reservation) -> None:
     """Wait until a turn comes, and use it."""
     left = turn.at - parts.clock.monotonic()
     if left > timedelta():
--- a/packages/mustardquay-node/src/mustardquay_node/recorders.py
+++ b/packages/mustardquay-node/src/mustardquay_node/recorders.py
@@ -13,13 +13,13 @@
 from mustardquay.claims import (
     CLAIMS,
     Claim,
+    ClaimDecision,
     ClaimKey,
+    ClaimResult,
     ClaimState,
-    Judgement,
     RecordedAnswer,
-    Verdict,
     decode_claim,
-    judge_claim,
+    resolve_claim,
 )
 from mustardquay.clocks import Clock
 from mustardquay.errors import Reason, Refusal, StoreUnavailable, StoreUnclear
@@ -96,7 +96,7 @@
         attempt: str,
         give_up: timedelta,
         finish_by: timedelta,
-    ) -> Judgement:
+    ) -> ClaimResult:
         """Return what a request with this key may do; never `JOIN`.
 
         `give_up` is the monotonic instant until which a store that is down is
@@ -106,9 +106,9 @@
         """
         while True:
             judged = await self._write_claim(key, digest, attempt, give_up, finish_by)
-            if judged.verdict is Verdict.JOIN:
+            if judged.decision is ClaimDecision.JOIN:
                 judged = await self._follow(judged.claim, finish_by)
-            if judged.verdict is not Verdict.JOIN:
+            if judged.decision is not ClaimDecision.JOIN:
                 return await self._load_body(judged, finish_by)
 
     def record_answer(
@@ -148,7 +148,7 @@
         attempt: str,
         give_up: timedelta,
         finish_by: timedelta,
-    ) -> Judgement:
+    ) -> ClaimResult:
         if self._writer.full:
             return _refuse(Reason.OVERLOAD, "Too many claims wait for the store")
         claim = self._make_claim(key, digest, attempt, finish_by)
@@ -178,7 +178,7 @@
             expires=now + self._lifetime,
         )
 
-    async def _follow(self, held: Claim, finish_by: timedelta) -> Judgement:
+    async def _follow(self, held: Claim, finish_by: timedelta) -> ClaimResult:
         """Follow the row of a running attempt, of this or another entry."""
         changed = asyncio.Event()
         watchers = self._changed.setdefault(held.key.row_key, set())
@@ -188,7 +188,7 @@
             while True:
                 remaining = finish_by - self._clock.monotonic()
                 if remaining <= timedelta():
-                    return Judgement(Verdict.UNKNOWN, held)
+                    return ClaimResult(ClaimDecision.UNKNOWN, held)
                 await self._pause(changed, min(pause, remaining))
                 pause = min(2 * pause, POLL_CAP)
                 judged = await self._judge_again(held)
@@ -207,7 +207,7 @@
             return
         changed.clear()
 
-    async def _judge_again(self, held: Claim) -> Judgement | None:
+    async def _judge_again(self, held: Claim) -> ClaimResult | None:
         """Return the word on a claim that is followed, or None to go on.
 
         `JOIN` means that the claim was released, so that the key is free again.
@@ -217,10 +217,10 @@
         except StoreUnavailable:
             return None
         follower = replace(held, id="")
-        judged = judge_claim(follower, row, self._clock.now())
+        judged = resolve_claim(follower, row, self._clock.now())
         if isinstance(judged, Claim):
-            return Judgement(Verdict.JOIN, held)
-        return None if judged.verdict is Verdict.JOIN else judged
+            return ClaimResult(ClaimDecision.JOIN, held)
+        return None if judged.decision is ClaimDecision.JOIN else judged
 
     def _end(
         self, claim: Claim, state: ClaimState, answer: RecordedAnswer | None = None
@@ -251,7 +251,9 @@
         if not result.done():
             result.set_result(written)
 
-    async def _load_body(self, judged: Judgement, finish_by: timedelta) -> Judgement:
+    async def _load_body(
+        self, judged: ClaimResult, finish_by: timedelta
+    ) -> ClaimResult:
         answer = judged.answer
         if answer is None or not answer.object_name:
             return judged
@@ -266,15 +268,17 @@
             if body is None:
                 break
             return replace(judged, answer=replace(answer, body=body))
-        return Judgement(Verdict.UNKNOWN, judged.claim)
+        return ClaimResult(ClaimDecision.UNKNOWN, judged.claim)
 
     def _choose_pause(self, retry: int) -> float:
         return choose_backoff(retry, timedelta.max, self._random).total_seconds()
 
 
-def _refuse(reason: Reason, message: str) -> Judgement:
+def _refuse(reason: Reason, message: str) -> ClaimResult:
     text = (
         f"{message}; this call was not run. Send it again with the same key: it is "
         "told if an earlier call ran."
     )
-    return Judgement(Verdict.REFUSED, refusal=Refusal(reason, text, RETRY_AFTER))
+    return ClaimResult(
+        ClaimDecision.REFUSED, refusal=Refusal(reason, text, RETRY_AFTER)
+    )
--- a/packages/mustardquay-node/src/mustardquay_node/sends.py
+++ b/packages/mustardquay-node/src/mustardquay_node/sends.py
@@ -343,7 +343,7 @@
             return
         id = send.upstream.id
         now = self._parts.clock.monotonic()
-        change = self._parts.limits.hear(id, facts.rate_limit, now)
+        change = self._parts.limits.update(id, facts.rate_limit, now)
         if change is not None:
             self._parts.events.record(
                 "upstream.limited",
--- a/packages/mustardquay-node/src/mustardquay_node/services.py
+++ b/packages/mustardquay-node/src/mustardquay_node/services.py
@@ -12,10 +12,10 @@
 from mustardquay.claims import (
     KEY_LIMIT,
     Claim,
+    ClaimDecision,
     ClaimKey,
-    Judgement,
+    ClaimResult,
     RecordedAnswer,
-    Verdict,
     describe_claim,
 )
 from mustardquay.errors import Reason, Refusal
@@ -102,7 +102,7 @@
         judgement = await self._claim(service, key, path)
         await self._follow_verdict(judgement, path)
 
-    async def _claim(self, service: str, key: str, path: str) -> Judgement:
+    async def _claim(self, service: str, key: str, path: str) -> ClaimResult:
         contract = self.customer
         assert contract is not None
         method, query = self.request.method or "", self.request.query
@@ -116,24 +116,24 @@
             self.arrived + contract.lateness.whole,
         )
 
-    async def _follow_verdict(self, judgement: Judgement, path: str) -> None:
+    async def _follow_verdict(self, judgement: ClaimResult, path: str) -> None:
         self.parts.events.record(
             "claim.judged",
             request=self.request_id,
             customer=self.customer.customer if self.customer else "",
-            verdict=judgement.verdict.value,
+            verdict=judgement.decision.value,
         )
-        match judgement.verdict:
-            case Verdict.RUN:
+        match judgement.decision:
+            case ClaimDecision.RUN:
                 assert judgement.claim is not None
                 await self._run_claimed(judgement.claim, path)
-            case Verdict.REPLAY:
+            case ClaimDecision.REPLAY:
                 assert judgement.answer is not None
                 self._replay(judgement.answer)
-            case Verdict.MISMATCH:
+            case ClaimDecision.MISMATCH:
                 message = "The key was used for another call; use a new key."
                 self.refuse(422, message, "idempotency_key_reused", KEY_HEADER)
-            case Verdict.REFUSED:
+            case ClaimDecision.REFUSED:
                 assert judgement.refusal is not None
                 self.send_outcome(Finish(Outcome.NOT_RUN, judgement.refusal))
             case _:
--- a/packages/mustardquay-node/tests/test_generators.py
+++ b/packages/mustardquay-node/tests/test_generators.py
@@ -120,7 +120,7 @@
             planner.end(ended.popleft()[1])
         prompt = make_prompt(number)
         placement = planner.choose(prompt, FLEET, (), BODY)
-        waits.append(uplink.measure(BODY, now))
+        waits.append(uplink.predict_time(BODY, now))
         readers[placement.reader.stage] += 1
         ticket = planner.begin(prompt, placement, BODY)
         took = timedelta(seconds=placement.wait_seconds + placement.read_seconds)
--- a/packages/mustardquay-node/tests/test_recorders.py
+++ b/packages/mustardquay-node/tests/test_recorders.py
@@ -16,7 +16,7 @@
     run_state_machine_as_test,
 )
 
-from mustardquay.claims import CLAIMS, ClaimKey, RecordedAnswer, Verdict
+from mustardquay.claims import CLAIMS, ClaimDecision, ClaimKey, RecordedAnswer
 from mustardquay.errors import StoreUnavailable, StoreUnclear
 from mustardquay.tables import Committed, Conflict, Row
 from mustardquay_node.recorders import Recorder
@@ -241,8 +241,8 @@
         waited = self.clock.monotonic() - begun
         if waited > DEADLINE + timedelta(seconds=patience + 1):
             self.faults.append(f"{key}: waited {waited}")
-        self.outcomes.append(judged.verdict)
-        if judged.verdict is Verdict.RUN:
+        self.outcomes.append(judged.decision)
+        if judged.decision is ClaimDecision.RUN:
             # The frame has left for the agent: what comes does not depend on the
             # life of this entry.
             claim = judged.claim
@@ -251,9 +251,9 @@
             )
             self.work.add(task)
             task.add_done_callback(self.work.discard)
-        elif judged.verdict is Verdict.REPLAY:
+        elif judged.decision is ClaimDecision.REPLAY:
             self._check_replay(key, body, judged.answer)
-        elif judged.verdict is Verdict.MISMATCH and judged.claim.digest == body:
+        elif judged.decision is ClaimDecision.MISMATCH and judged.claim.digest == body:
             self.faults.append(f"{key}: refused its own body")
 
     async def _execute(self, process, claim, key, body, end, long):
@@ -355,9 +355,9 @@
             *(recorder.claim(key, "d", "r/1", until, until) for key in keys)
         )
         await recorder.close()
-        return {item.verdict for item in judged}, recorder.transactions
+        return {item.decision for item in judged}, recorder.transactions
 
-    assert loop.run_until_complete(claim_all()) == ({Verdict.RUN}, 1)
+    assert loop.run_until_complete(claim_all()) == ({ClaimDecision.RUN}, 1)
     assert len(tables.rows) == 40
     assert {row.table for row in tables.rows.values()} == {CLAIMS}
     loop.close()
@@ -402,7 +402,7 @@
             begun + DEADLINE,
         )
         answer = f" {judged.answer.body!r}" if judged.answer else ""
-        self.note(f"entry-{entry}: {judged.verdict}{answer}")
+        self.note(f"entry-{entry}: {judged.decision}{answer}")
         return judged
 
     async def end(self, entry, judged):
--- a/packages/mustardquay/src/mustardquay/claims.py
+++ b/packages/mustardquay/src/mustardquay/claims.py
@@ -25,17 +25,17 @@
     "ClaimKey",
     "ClaimState",
     "ClaimWrite",
-    "Judgement",
+    "ClaimResult",
     "RecordedAnswer",
-    "Verdict",
+    "ClaimDecision",
     "decode_claim",
     "describe_claim",
     "encode_claim",
     "group_writes",
-    "judge_claim",
+    "resolve_claim",
     "plan_expiry",
     "restore_claim",
-    "settle_write",
+    "rebase_final_write",
     "split_conflict",
 ]
 
@@ -111,7 +111,7 @@
     """Revision of the row that contains this claim; 0 before it is written."""
 
 
-class Verdict(StrEnum):
+class ClaimDecision(StrEnum):
     """What happens to a request with an idempotency key."""
 
     RUN = "run"
@@ -129,10 +129,10 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Judgement:
+class ClaimResult:
     """A decision with the claim, answer or refusal that belongs to it."""
 
-    verdict: Verdict
+    decision: ClaimDecision
     claim: Claim | None = None
     answer: RecordedAnswer | None = None
     refusal: Refusal | None = None
@@ -155,7 +155,7 @@
         return Write(CLAIMS, self.claim.key.row_key, encode_claim(self.claim))
 
 
-def judge_claim(wanted: Claim, row: Row | None, now: datetime) -> Judgement | Claim:
+def resolve_claim(wanted: Claim, row: Row | None, now: datetime) -> ClaimResult | Claim:
     """Return the decision that the row implies, or the claim to write over it.
 
     `now` is the wall-clock time. An expired row is taken over only `CLOCK_SKEW` later,
@@ -170,28 +170,28 @@
     if now >= held.expires + CLOCK_SKEW:
         return replace(wanted, revision=row.revision)
     if held.digest != wanted.digest:
-        return Judgement(Verdict.MISMATCH, held)
+        return ClaimResult(ClaimDecision.MISMATCH, held)
     return _resolve_other(wanted, held, now)
 
 
-def _resolve_own(held: Claim) -> Judgement:
+def _resolve_own(held: Claim) -> ClaimResult:
     if held.state is ClaimState.CLAIMED:
-        return Judgement(Verdict.RUN, held)
-    return Judgement(Verdict.UNKNOWN, held)
+        return ClaimResult(ClaimDecision.RUN, held)
+    return ClaimResult(ClaimDecision.UNKNOWN, held)
 
 
-def _resolve_other(wanted: Claim, held: Claim, now: datetime) -> Judgement | Claim:
+def _resolve_other(wanted: Claim, held: Claim, now: datetime) -> ClaimResult | Claim:
     if held.state is ClaimState.NOT_RUN:
         return replace(wanted, revision=held.revision)
     if held.state is ClaimState.ANSWERED:
-        return Judgement(Verdict.REPLAY, held, held.answer)
+        return ClaimResult(ClaimDecision.REPLAY, held, held.answer)
     if held.state is ClaimState.UNKNOWN or now >= held.finish_by + CLOCK_SKEW:
         # The holder has died: requests that still wait are answered immediately.
-        return Judgement(Verdict.UNKNOWN, held)
-    return Judgement(Verdict.JOIN, held)
+        return ClaimResult(ClaimDecision.UNKNOWN, held)
+    return ClaimResult(ClaimDecision.JOIN, held)
 
 
-def settle_write(wanted: Claim, row: Row | None) -> Claim | None:
+def rebase_final_write(wanted: Claim, row: Row | None) -> Claim | None:
     """Return the claim to write over the row's revision, or None if none is needed.
 
     For writes that end a claim: an answer, an unknown or a not-run. A claim that was
--- a/packages/mustardquay/src/mustardquay/engine_books.py
+++ b/packages/mustardquay/src/mustardquay/engine_books.py
@@ -9,7 +9,7 @@
 
 from .engine_models import EngineModels
 from .peer_books import LOWEST_RANK, PeerBook, make_ranks
-from .rate_limits import LimitBook
+from .rate_limits import RateLimiter
 from .requests import PromptPart
 from .upstream_lists import Stage
 from .upstream_loads import LoadBook
@@ -134,4 +134,4 @@
     models: EngineModels
     pauses: dict[str, timedelta] = field(default_factory=dict)
     """Shortest of the longest pauses that routes allow, by service."""
-    limits: LimitBook = field(default_factory=LimitBook)
+    limits: RateLimiter = field(default_factory=RateLimiter)
--- a/packages/mustardquay/src/mustardquay/placements.py
+++ b/packages/mustardquay/src/mustardquay/placements.py
@@ -338,10 +338,10 @@
     work = question.sum_work(reader)
     running = books.works.sum_running(decoder.id)
     first = books.models.expect_first(decoder.service, running)
-    reader_turn = books.limits.expect_wait(reader, question.now)
+    reader_turn = books.limits.predict_wait(reader, question.now)
     decoder_turn = 0.0
     if prefiller is not None:
-        decoder_turn = books.limits.expect_wait(decoder, question.now)
+        decoder_turn = books.limits.predict_wait(decoder, question.now)
     cost = max(work, reader_turn) + planned.seconds + planned.displaced + first
     cost = max(cost, decoder_turn + first)
     return Placement(
@@ -365,7 +365,7 @@
 def _weigh_decoder(engine: UpstreamRecord, books: EngineBooks, now: timedelta) -> float:
     running = books.works.sum_running(engine.id)
     wait = books.works.sum_seconds(engine.id)
-    wait = max(wait, books.limits.expect_wait(engine, now))
+    wait = max(wait, books.limits.predict_wait(engine, now))
     first = books.models.expect_first(engine.service, running)
     return wait + first + _penalty(engine, books, now)
 
--- a/packages/mustardquay/src/mustardquay/quarantines.py
+++ b/packages/mustardquay/src/mustardquay/quarantines.py
@@ -28,7 +28,7 @@
     "CrashId",
     "CrashRecord",
     "Quarantine",
-    "Standing",
+    "FingerprintStatus",
     "SuspectGate",
     "choose_suspect_upstream",
 ]
@@ -40,7 +40,7 @@
 Key = tuple[str, int]
 
 
-class Standing(StrEnum):
+class FingerprintStatus(StrEnum):
     """Whether a fingerprint may run."""
 
     CLEAR = "clear"
@@ -122,24 +122,27 @@
         third one happened to survive it.
         """
         record = self._records.get(fingerprint)
-        if record is None or self.judge(fingerprint, now) is not Standing.SUSPECT:
+        if (
+            record is None
+            or self.find_status(fingerprint, now) is not FingerprintStatus.SUSPECT
+        ):
             return
         self._merge(fingerprint, set(), set(record.crashes), record.until, now)
 
-    def judge(self, fingerprint: int, now: timedelta) -> Standing:
+    def find_status(self, fingerprint: int, now: timedelta) -> FingerprintStatus:
         """Return whether the fingerprint is clear, a suspect or refused now."""
         record = self._records.get(fingerprint)
         if record is None or record.until <= now:
-            return Standing.CLEAR
+            return FingerprintStatus.CLEAR
         counted = len(record.crashes - record.cleared)
         if counted == 0:
-            return Standing.CLEAR
+            return FingerprintStatus.CLEAR
         is_refused = counted >= self._refused_after
-        return Standing.REFUSED if is_refused else Standing.SUSPECT
+        return FingerprintStatus.REFUSED if is_refused else FingerprintStatus.SUSPECT
 
     def refuse(self, fingerprint: int, now: timedelta) -> Refusal | None:
         """Return a refusal if the fingerprint is refused, else None."""
-        if self.judge(fingerprint, now) is not Standing.REFUSED:
+        if self.find_status(fingerprint, now) is not FingerprintStatus.REFUSED:
             return None
         return Refusal(
             Reason.QUARANTINE,
--- a/packages/mustardquay/src/mustardquay/rate_limits.py
+++ b/packages/mustardquay/src/mustardquay/rate_limits.py
@@ -12,7 +12,7 @@
 from .rate_shares import FleetDemand
 from .upstream_lists import UpstreamRecord
 
-__all__ = ["LimitBook", "LimitChange", "LimitNotice", "Turn"]
+__all__ = ["RateLimiter", "LimitChange", "LimitNotice", "Reservation"]
 
 LIFETIME = timedelta(seconds=10)
 """How long a limit holds that no answer names again."""
@@ -49,7 +49,7 @@
 
 
 @dataclass(slots=True)
-class Turn:
+class Reservation:
     """The place of one request among those that an upstream takes."""
 
     upstream: str
@@ -81,7 +81,7 @@
 
 
 @dataclass(slots=True)
-class LimitBook:
+class RateLimiter:
     """The limits that upstreams have named, and this gateway's part of them."""
 
     demand: FleetDemand = field(default_factory=FleetDemand)
@@ -94,7 +94,7 @@
         limit = self._find(upstream, now)
         return None if limit is None else limit.per_second
 
-    def hear(
+    def update(
         self, upstream: str, per_second: float | None, now: timedelta
     ) -> LimitChange | None:
         """Take in what an answer says; returns the change if it is news."""
@@ -106,7 +106,7 @@
             return None
         return LimitChange(before, per_second)
 
-    def hear_notice(self, notice: LimitNotice, now: timedelta) -> None:
+    def apply_notice(self, notice: LimitNotice, now: timedelta) -> None:
         """Take in a limit that another gateway tells of; own answers go before it."""
         named_at = now - notice.age
         lifted_at = self._lifted.get(notice.upstream)
@@ -116,11 +116,11 @@
         if known is None or known.named_at < named_at:
             self._put(notice.upstream, notice.per_second, named_at, now)
 
-    def knows_any(self, now: timedelta) -> bool:
+    def has_limits(self, now: timedelta) -> bool:
         """Return whether any upstream has a limit."""
         return any(self._find(upstream, now) for upstream in self._limits)
 
-    def tell(self, now: timedelta) -> tuple[LimitNotice, ...]:
+    def list_notices(self, now: timedelta) -> tuple[LimitNotice, ...]:
         """Return the limits that this gateway's own answers name."""
         return tuple(
             LimitNotice(upstream, limit.per_second, now - limit.named_at)
@@ -128,7 +128,7 @@
             if not limit.is_told and now - limit.named_at <= LIFETIME
         )
 
-    def expect_wait(self, upstream: UpstreamRecord, now: timedelta) -> float:
+    def predict_wait(self, upstream: UpstreamRecord, now: timedelta) -> float:
         """Return the seconds until the next request may be sent, 0 without a limit."""
         limit = self._find(upstream.id, now)
         if limit is None:
@@ -155,13 +155,13 @@
             for each in limited
         }
 
-    def reserve(self, upstream: UpstreamRecord, now: timedelta) -> Turn:
+    def reserve(self, upstream: UpstreamRecord, now: timedelta) -> Reservation:
         """Take the next turn to send to an upstream."""
-        wait = self.expect_wait(upstream, now)
+        wait = self.predict_wait(upstream, now)
         self.note_sent(upstream.id, now)
-        return Turn(upstream.id, now + timedelta(seconds=wait))
+        return Reservation(upstream.id, now + timedelta(seconds=wait))
 
-    def release(self, turn: Turn) -> None:
+    def release(self, turn: Reservation) -> None:
         """Give back a turn, unless it was used."""
         limit = self._limits.get(turn.upstream)
         if limit is not None and not turn.is_used:
--- a/packages/mustardquay/src/mustardquay/rate_shares.py
+++ b/packages/mustardquay/src/mustardquay/rate_shares.py
@@ -20,7 +20,7 @@
 EVEN_WEIGHT = 0.1
 """Part of the mean demand that each gateway has at least, so that the first callers of
 one that had none find a place."""
-MOST_AMONG_STRANGERS = 0.5
+MAX_PART_WITH_UNLINKED = 0.5
 """Most of what the gateways that are heard may use that one of them uses, where there
 are others: each of those hears half of them at least, and not always this one."""
 TOLD_LIFETIME = timedelta(milliseconds=800)
@@ -91,7 +91,7 @@
     _told: dict[str, _Told] = field(default_factory=dict)
     _seen: dict[str, _Seen] = field(default_factory=dict)
     """The gateways that are listed and tell this one."""
-    _strangers: int = 0
+    _unlinked: int = 0
     """Gateways that are listed and tell others than this one."""
 
     def count_request(self, service: str, now: timedelta) -> None:
@@ -101,17 +101,17 @@
             meter = self._own[service] = DemandMeter()
         meter.count(now)
 
-    def list_gateways(
-        self, neighbours: Collection[str], strangers: int, now: timedelta
+    def set_gateways(
+        self, linked: Collection[str], unlinked: int, now: timedelta
     ) -> None:
         """Take in which other gateways are listed: those that tell this one, and how
         many there are besides.
         """
-        self._seen = {name: self._seen.get(name, _Seen(now)) for name in neighbours}
+        self._seen = {name: self._seen.get(name, _Seen(now)) for name in linked}
         self._told = {k: told for k, told in self._told.items() if k in self._seen}
-        self._strangers = strangers
+        self._unlinked = unlinked
 
-    def hear(
+    def apply_demands(
         self, gateway: str, demands: Sequence[ServiceDemand] | None, now: timedelta
     ) -> None:
         """Take in what a gateway tells of its callers; None if it knows no limit."""
@@ -121,7 +121,7 @@
         self._told[gateway] = _Told(by_service, now)
         self._seen[gateway] = _Seen(now, was_heard=True)
 
-    def tell(self, now: timedelta) -> tuple[ServiceDemand, ...]:
+    def list_demands(self, now: timedelta) -> tuple[ServiceDemand, ...]:
         """Return what the other gateways are told."""
         return tuple(
             ServiceDemand(service, meter.read(now))
@@ -149,8 +149,8 @@
         even = EVEN_WEIGHT * sum(weights) / known
         total = sum(weights) + known * even
         part = (own + even) / total if total else 1 / known
-        if self._strangers:
-            part = min(part, MOST_AMONG_STRANGERS)
+        if self._unlinked:
+            part = min(part, MAX_PART_WITH_UNLINKED)
         return part * known / max(self._count_gateways(now), known)
 
     def _list_heard(self, service: str, usual: float, now: timedelta) -> list[float]:
@@ -168,9 +168,9 @@
         tell this one.
         """
         if not self._seen:
-            return 1.0 + self._strangers
+            return 1.0 + self._unlinked
         alive = self._count_alive(now)
-        return 1 + alive + self._strangers * alive / len(self._seen)
+        return 1 + alive + self._unlinked * alive / len(self._seen)
 
     def _count_alive(self, now: timedelta) -> int:
         """Return how many of the gateways that tell this one may be sending.
--- a/packages/mustardquay/src/mustardquay/retries.py
+++ b/packages/mustardquay/src/mustardquay/retries.py
@@ -20,9 +20,9 @@
 
     __slots__ = ("_capacity", "_now", "_tokens", "_refill_rate")
 
-    def __init__(self, capacity: float, trickle: float, now: timedelta):
+    def __init__(self, capacity: float, refill_rate: float, now: timedelta):
         self._capacity = capacity
-        self._refill_rate = trickle
+        self._refill_rate = refill_rate
         self._tokens = capacity
         self._now = now
 
@@ -57,16 +57,16 @@
         self,
         ratio: float = 0.1,
         capacity: float = 10.0,
-        trickle: float = 0.1,
+        refill_rate: float = 0.1,
         entry_capacity: float = 100.0,
         customers: int = 10_000,
         now: timedelta = timedelta(),
     ):
         self._ratio = ratio
         self._capacity = capacity
-        self._refill_rate = trickle
+        self._refill_rate = refill_rate
         self._customers = customers
-        self._entry = _Bucket(entry_capacity, trickle, now)
+        self._entry = _Bucket(entry_capacity, refill_rate, now)
         self._buckets: OrderedDict[str, _Bucket] = OrderedDict()
 
     def earn(self, customer: str, now: timedelta) -> None:
--- a/packages/mustardquay/src/mustardquay/retry_decisions.py
+++ b/packages/mustardquay/src/mustardquay/retry_decisions.py
@@ -12,7 +12,7 @@
 from .requests import SendEnd
 from .routing_tables import Repeat, Route
 
-__all__ = ["NextStep", "ReadingState", "Sendings", "count_repeats", "decide_next"]
+__all__ = ["NextStep", "PrefillState", "SendHistory", "count_repeats", "decide_next"]
 
 FAILED_STATUSES = range(500, 600)
 """Answers of upstreams that a repeatable request may be sent again after."""
@@ -35,7 +35,7 @@
     """Tell the caller that it is not known whether the request has run."""
 
 
-class ReadingState(StrEnum):
+class PrefillState(StrEnum):
     """What there is of a prompt's reading when its request is sent again."""
 
     NONE = "none"
@@ -46,13 +46,13 @@
 
 
 @dataclass(slots=True)
-class Sendings:
+class SendHistory:
     """The sends of one request so far."""
 
-    offered: int = 0
+    attempts: int = 0
     """Upstreams that at least one byte was sent to."""
     may_have_run: bool = False
-    events_passed: bool = False
+    has_sent_events: bool = False
     """Whether the caller has had a part of a stream."""
     misdirected: int = 0
     """Sends that reached another upstream than the one meant."""
@@ -62,7 +62,7 @@
         if end is SendEnd.OTHER_UPSTREAM:
             self.misdirected += 1
         elif end not in (SendEnd.NOT_SENT, SendEnd.UNREAD):
-            self.offered += 1
+            self.attempts += 1
         if not end.is_not_run:
             self.may_have_run = True
 
@@ -73,7 +73,7 @@
 
 
 def decide_next(
-    route: Route, sendings: Sendings, end: SendEnd, status: int, time_left: timedelta
+    route: Route, sendings: SendHistory, end: SendEnd, status: int, time_left: timedelta
 ) -> NextStep:
     """Return what follows a send that `sendings` has taken in.
 
@@ -91,8 +91,8 @@
             return NextStep.PASS_ON
         return NextStep.SEND_AGAIN
     has_time = time_left > LEAST_TIME
-    if sendings.events_passed:
-        may_resume = route.resumable and sendings.offered < route.max_attempts
+    if sendings.has_sent_events:
+        may_resume = route.resumable and sendings.attempts < route.max_attempts
         return NextStep.RESUME if may_resume and has_time else NextStep.FAIL
     if sendings.may_have_run and not _is_repeatable(route):
         return NextStep.FAIL
@@ -101,21 +101,21 @@
     return NextStep.FAIL if sendings.may_have_run else NextStep.REFUSE
 
 
-def count_repeats(route: Route, end: SendEnd, reading: ReadingState) -> int:
+def count_repeats(route: Route, end: SendEnd, reading: PrefillState) -> int:
     """Return the sends that another try takes from the retry allowance.
 
     Only the first reading of a prompt is free, and the first send for the rest.
 
     >>> from datetime import timedelta as t
     >>> stream = Route("r", "h", "/", Repeat.STREAM, (), t(1), t(1), has_prompt=True)
-    >>> [count_repeats(stream, SendEnd.BROKEN, each) for each in ReadingState]
+    >>> [count_repeats(stream, SendEnd.BROKEN, each) for each in PrefillState]
     [2, 1, 2]
-    >>> [count_repeats(stream, SendEnd.NOT_SENT, each) for each in ReadingState]
+    >>> [count_repeats(stream, SendEnd.NOT_SENT, each) for each in PrefillState]
     [0, 0, 1]
     """
     sends = 0 if end is SendEnd.NOT_SENT else 1
-    is_read_anew = route.has_prompt and reading is not ReadingState.KEPT
-    if is_read_anew and (sends or reading is ReadingState.LOST):
+    is_read_anew = route.has_prompt and reading is not PrefillState.KEPT
+    if is_read_anew and (sends or reading is PrefillState.LOST):
         sends += 1
     return sends
 
@@ -127,19 +127,19 @@
     return route.is_repeatable
 
 
-def _has_attempts(route: Route, sendings: Sendings, end: SendEnd) -> bool:
+def _has_attempts(route: Route, sendings: SendHistory, end: SendEnd) -> bool:
     if end is SendEnd.OTHER_UPSTREAM:
         return sendings.misdirected < MISDIRECTED_LIMIT
-    return sendings.offered < route.max_attempts
+    return sendings.attempts < route.max_attempts
 
 
 def _is_worth_repeating(
-    route: Route, sendings: Sendings, status: int, time_left: timedelta
+    route: Route, sendings: SendHistory, status: int, time_left: timedelta
 ) -> bool:
     return (
         status in FAILED_STATUSES
         and _is_repeatable(route)
-        and not sendings.events_passed
-        and sendings.offered < route.max_attempts
+        and not sendings.has_sent_events
+        and sendings.attempts < route.max_attempts
         and time_left > LEAST_TIME
     )
--- a/packages/mustardquay/src/mustardquay/route_times.py
+++ b/packages/mustardquay/src/mustardquay/route_times.py
@@ -15,7 +15,7 @@
 WINDOW = timedelta(seconds=20)
 """Answers of the present window and the one before it count: some hundred on a route
 that is in use, and none from before a change of what upstreams can do for long."""
-LEAST_SAMPLES = 50
+MIN_SAMPLES = 50
 """Answers below which nothing is known: of so many, the next one takes longer than all
 of them once in fifty times, whatever their times are like."""
 HEADROOM = 2.0
@@ -28,12 +28,12 @@
 
     first: timedelta
     """To the first part of its answer."""
-    for_event: timedelta
+    per_event: timedelta
     """From there to its end, for each event of a stream."""
 
-    def expect_stream(self, most_events: int) -> timedelta:
+    def predict_stream(self, max_events: int) -> timedelta:
         """Return the time to the end of a stream of at most so many events."""
-        return self.first + most_events * self.for_event
+        return self.first + max_events * self.per_event
 
 
 @dataclass(frozen=True, eq=False, slots=True)
@@ -50,12 +50,12 @@
 
     samples: int = 0
     first: timedelta = timedelta()
-    for_event: timedelta = timedelta()
+    per_event: timedelta = timedelta()
 
     def note(self, first: timedelta, rest: timedelta, events: int) -> None:
         self.samples += 1
         self.first = max(self.first, first)
-        self.for_event = max(self.for_event, rest / max(events, 1))
+        self.per_event = max(self.per_event, rest / max(events, 1))
 
 
 @dataclass(slots=True)
@@ -115,10 +115,10 @@
             return None
         recent.turn(now)
         windows = (recent.present, recent.before)
-        if sum(each.samples for each in windows) < LEAST_SAMPLES:
+        if sum(each.samples for each in windows) < MIN_SAMPLES:
             return None
         ages = [now - each.since for each in self._waiting.get(route, ())]
         return LongestTimes(
             HEADROOM * max(*(each.first for each in windows), *ages),
-            HEADROOM * max(each.for_event for each in windows),
+            HEADROOM * max(each.per_event for each in windows),
         )
--- a/packages/mustardquay/src/mustardquay/stops.py
+++ b/packages/mustardquay/src/mustardquay/stops.py
@@ -20,16 +20,16 @@
 
 __all__ = [
     "ANSWER_MARGIN",
-    "BALANCER_NOTICE",
-    "Demand",
-    "StopPlace",
+    "BALANCER_REMOVAL_DELAY",
+    "RequestEstimate",
+    "StopContext",
     "StopState",
     "StopTimes",
     "admit_request",
     "find_state",
 ]
 
-BALANCER_NOTICE = timedelta(seconds=2.6)
+BALANCER_REMOVAL_DELAY = timedelta(seconds=2.6)
 """Time after which the balancer sends nobody to a gateway that isn't ready: it asks
 each second and takes a gateway out after two answers."""
 ANSWER_MARGIN = timedelta(milliseconds=200)
@@ -41,7 +41,7 @@
 
     SERVING = "serving"
     LEAVING = "leaving"
-    LAST_CALLS = "last_calls"
+    DRAINING = "last_calls"
     CLOSED = "closed"
 
 
@@ -59,23 +59,23 @@
 
 
 @dataclass(frozen=True, slots=True)
-class StopPlace:
+class StopContext:
     """What a gateway is to its fleet while it stops."""
 
-    is_needed: bool = False
+    is_still_routed: bool = False
     """Whether the balancer sends callers all the same."""
-    is_next: bool = False
+    may_stop_early: bool = False
     """Whether it is its turn to end early though it is needed."""
 
 
-NOT_NEEDED = StopPlace()
+NOT_NEEDED = StopContext()
 
 
 def find_state(
     times: StopTimes | None,
     now: timedelta,
     in_flight: int,
-    place: StopPlace = NOT_NEEDED,
+    place: StopContext = NOT_NEEDED,
 ) -> StopState:
     """Return the state of a gateway with `in_flight` requests.
 
@@ -85,29 +85,29 @@
     ['leaving', 'last_calls', 'closed']
     >>> find_state(times, 3 * second, 0).value
     'closed'
-    >>> find_state(times, 3 * second, 0, StopPlace(is_needed=True)).value
+    >>> find_state(times, 3 * second, 0, StopContext(is_still_routed=True)).value
     'leaving'
     """
     if times is None:
         return StopState.SERVING
     if now >= times.ends_at:
         return StopState.CLOSED
-    if now - times.began_at < BALANCER_NOTICE:
+    if now - times.began_at < BALANCER_REMOVAL_DELAY:
         return StopState.LEAVING
-    if place.is_needed and (in_flight or not place.is_next):
+    if place.is_still_routed and (in_flight or not place.may_stop_early):
         return StopState.LEAVING
-    return StopState.LAST_CALLS if in_flight else StopState.CLOSED
+    return StopState.DRAINING if in_flight else StopState.CLOSED
 
 
 @dataclass(frozen=True, slots=True)
-class Demand:
+class RequestEstimate:
     """What a request needs of a gateway that stops."""
 
     time_allowed: timedelta
     """What its caller and its route leave it; it ends then in any case."""
     longest: LongestTimes | None
     """What requests of its route have lately taken; None if that isn't known."""
-    most_events: int = 0
+    max_events: int = 0
     """Events of its stream at most."""
     is_stream: bool = False
     is_resumable: bool = False
@@ -117,12 +117,12 @@
         """Return the time that it is held to need."""
         if self.longest is None:
             return self.time_allowed
-        expected = self.longest.expect_stream(self.most_events)
+        expected = self.longest.predict_stream(self.max_events)
         return min(self.time_allowed, expected)
 
 
 def admit_request(
-    state: StopState, times: StopTimes, now: timedelta, demand: Demand
+    state: StopState, times: StopTimes, now: timedelta, demand: RequestEstimate
 ) -> timedelta | None:
     """Return when the answer of a request must have begun; None if it is refused.
 
@@ -145,7 +145,7 @@
         return ends_at
     if demand.longest is None or now + demand.expected > times.answer_by:
         return None
-    is_early = now - times.began_at < BALANCER_NOTICE
+    is_early = now - times.began_at < BALANCER_REMOVAL_DELAY
     if demand.is_stream and not (is_early and demand.is_resumable):
         return None
     return times.answer_by
--- a/packages/mustardquay/src/mustardquay/tombstones.py
+++ b/packages/mustardquay/src/mustardquay/tombstones.py
@@ -46,7 +46,7 @@
     def __len__(self) -> int:
         return len(self._entries)
 
-    def bury(self, key: Hashable, now: timedelta) -> bool:
+    def add(self, key: Hashable, now: timedelta) -> bool:
         """Store a tombstone; return False if the capacity is exhausted.
 
         The agent must then not confirm: the outcome of the attempt is unknown. No
@@ -59,7 +59,7 @@
         self._entries.move_to_end(key)
         return True
 
-    def holds(self, key: Hashable, now: timedelta) -> bool:
+    def contains(self, key: Hashable, now: timedelta) -> bool:
         """Return whether the attempt has a tombstone and must not be started."""
         self.tick(now)
         return key in self._entries
--- a/packages/mustardquay/src/mustardquay/uplinks.py
+++ b/packages/mustardquay/src/mustardquay/uplinks.py
@@ -23,19 +23,19 @@
         self._rate = mbit_per_s * BYTES_PER_MBIT * USABLE_SHARE
         self._free_at = timedelta()
 
-    def take(self, size: int, now: timedelta) -> None:
+    def enqueue(self, size: int, now: timedelta) -> None:
         """Note that `size` bytes are sent."""
         if self._rate:
             begin = max(self._free_at, now)
             self._free_at = begin + timedelta(seconds=size / self._rate)
 
-    def measure(self, size: int, now: timedelta) -> timedelta:
+    def predict_time(self, size: int, now: timedelta) -> timedelta:
         """Return how long `size` bytes sent now take to have left.
 
         >>> link = Uplink(13)
         >>> now = timedelta(seconds=3)
-        >>> link.take(18_000, now)
-        >>> round(link.measure(18_000, now) / timedelta(milliseconds=1))
+        >>> link.enqueue(18_000, now)
+        >>> round(link.predict_time(18_000, now) / timedelta(milliseconds=1))
         25
         """
         if not self._rate:
--- a/packages/mustardquay/src/mustardquay/version_trackers.py
+++ b/packages/mustardquay/src/mustardquay/version_trackers.py
@@ -9,7 +9,7 @@
 from datetime import timedelta
 from enum import StrEnum
 
-__all__ = ["TableState", "VersionBook"]
+__all__ = ["TableState", "VersionTracker"]
 
 LAG_SHARE = 0.5
 """Part of the time in which a version has to be in force after which one that is known
@@ -27,7 +27,7 @@
 
 
 @dataclass(slots=True)
-class VersionBook:
+class VersionTracker:
     """The version in force in this process, and the newer ones that others have."""
 
     in_force: int = 0
@@ -45,19 +45,19 @@
         """Return whether others have a newer version."""
         return bool(self._newer)
 
-    def hear(self, version: int, now: timedelta) -> bool:
+    def note_version(self, version: int, now: timedelta) -> bool:
         """Take in the version that another process has; returns whether it is news."""
         if version <= self.in_force or version in self._newer:
             return False
         self._newer[version] = now
         return True
 
-    def put(self, version: int) -> None:
+    def set_in_force(self, version: int) -> None:
         """Note that a version is in force here."""
         self.in_force = version
         self._newer = {each: at for each, at in self._newer.items() if each > version}
 
-    def judge(
+    def find_state(
         self, others: Collection[int], bound: timedelta, now: timedelta
     ) -> TableState:
         """Return what may be concluded from the version in force.
--- a/packages/mustardquay/tests/test_claims.py
+++ b/packages/mustardquay/tests/test_claims.py
@@ -9,16 +9,16 @@
     CLAIMS,
     CLOCK_SKEW,
     Claim,
+    ClaimDecision,
     ClaimKey,
     ClaimState,
     ClaimWrite,
     RecordedAnswer,
-    Verdict,
     decode_claim,
     encode_claim,
-    judge_claim,
     plan_expiry,
-    settle_write,
+    rebase_final_write,
+    resolve_claim,
     split_conflict,
 )
 from mustardquay.errors import DocumentError
@@ -73,7 +73,7 @@
 def test_an_answered_or_released_claim_is_final(state, wanted):
     """A booking was answered, then a late release frees its key and it runs again."""
     row = make_row(make_claim(state=state, revision=2))
-    assert settle_write(make_claim(state=wanted), row) is None
+    assert rebase_final_write(make_claim(state=wanted), row) is None
 
 
 @pytest.mark.parametrize("skew", [-CLOCK_SKEW / 2, CLOCK_SKEW / 2])
@@ -81,17 +81,17 @@
     """A caller is promised a day, an entry with a fast clock ends it sooner."""
     held = make_claim(state=ClaimState.ANSWERED, answer=RecordedAnswer(200))
     wanted = make_claim(id="other", revision=0)
-    judged = judge_claim(wanted, make_row(held), held.expires + skew)
-    assert judged.verdict is Verdict.REPLAY
-    later = judge_claim(wanted, make_row(held), held.expires + CLOCK_SKEW)
+    judged = resolve_claim(wanted, make_row(held), held.expires + skew)
+    assert judged.decision is ClaimDecision.REPLAY
+    later = resolve_claim(wanted, make_row(held), held.expires + CLOCK_SKEW)
     assert later == replace(wanted, revision=held.revision)
 
 
 def test_a_claim_whose_holder_died_is_unknown_at_once_after_its_deadline():
     held = make_claim()
     wanted = make_claim(id="other", revision=0)
-    judged = judge_claim(wanted, make_row(held), held.finish_by + CLOCK_SKEW)
-    assert judged.verdict is Verdict.UNKNOWN
+    judged = resolve_claim(wanted, make_row(held), held.finish_by + CLOCK_SKEW)
+    assert judged.decision is ClaimDecision.UNKNOWN
 
 
 def test_writes_that_an_absent_row_may_have_failed_are_tried_alone():
--- a/packages/mustardquay/tests/test_quarantines.py
+++ b/packages/mustardquay/tests/test_quarantines.py
@@ -9,8 +9,8 @@
 
 from mustardquay.quarantines import (
     CrashId,
+    FingerprintStatus,
     Quarantine,
-    Standing,
     SuspectGate,
     choose_suspect_upstream,
 )
@@ -43,21 +43,23 @@
     )
     def call(self, entry, upstream, fingerprint):
         known = self.quarantines[entry]
-        standing = known.judge(fingerprint, self.now)
-        if standing is Standing.REFUSED:
+        standing = known.find_status(fingerprint, self.now)
+        if standing is FingerprintStatus.REFUSED:
             return
-        if standing is Standing.SUSPECT:
+        if standing is FingerprintStatus.SUSPECT:
             crashed = known.list_crashed(fingerprint)
             upstream = choose_suspect_upstream(fingerprint, UPSTREAMS, crashed)
         self._arrive(upstream, fingerprint)
 
     def _arrive(self, upstream, fingerprint):
-        standing = self.quarantines[upstream].judge(fingerprint, self.now)
-        if standing is Standing.REFUSED:
+        standing = self.quarantines[upstream].find_status(fingerprint, self.now)
+        if standing is FingerprintStatus.REFUSED:
             return
         self.sent += 1
         key = (f"r{self.sent}", 1)
-        if standing is Standing.SUSPECT and not self.gates[upstream].admit(key):
+        if standing is FingerprintStatus.SUSPECT and not self.gates[upstream].admit(
+            key
+        ):
             return
         self.running[upstream][key] = fingerprint
 
@@ -93,14 +95,17 @@
                     self._send(upstream, entry)
                     self._send(entry, upstream)
         standings = {
-            tuple(known.judge(name, self.now) for name in (POISON, 1, 2, 3))
+            tuple(known.find_status(name, self.now) for name in (POISON, 1, 2, 3))
             for known in self.quarantines.values()
         }
         assert len(standings) == 1, "the records did not converge"
         self._check_that_a_suspect_has_one_upstream()
 
     def _check_that_a_suspect_has_one_upstream(self):
-        if self.quarantines["e1"].judge(POISON, self.now) is not Standing.SUSPECT:
+        if (
+            self.quarantines["e1"].find_status(POISON, self.now)
+            is not FingerprintStatus.SUSPECT
+        ):
             return
         before = [POISON in running.values() for running in self.running.values()]
         if any(before):
@@ -121,7 +126,7 @@
     @rule(fingerprint=st.sampled_from([1, 2, 3]))
     def a_refused_one_was_seen_in_two_crashes(self, fingerprint):
         for known in self.quarantines.values():
-            if known.judge(fingerprint, self.now) is Standing.REFUSED:
+            if known.find_status(fingerprint, self.now) is FingerprintStatus.REFUSED:
                 assert self.in_flight_at_crashes[fingerprint] >= 2
 
     def teardown(self):
@@ -130,16 +135,19 @@
         known = self.quarantines["e1"]
         counted = self.in_flight_at_crashes[POISON]
         if counted >= 2:
-            assert known.judge(POISON, self.now) is Standing.REFUSED
+            assert known.find_status(POISON, self.now) is FingerprintStatus.REFUSED
         elif counted == 1:
-            assert known.judge(POISON, self.now) is Standing.SUSPECT
+            assert known.find_status(POISON, self.now) is FingerprintStatus.SUSPECT
         for _ in range(2400):
             self.now += timedelta(seconds=1)
             if self.now.total_seconds() % 60 == 0:
                 for entry in ENTRIES:
                     self._send("u1", entry)
                     self._send(entry, "u1")
-        assert self.quarantines["u1"].judge(POISON, self.now) is Standing.CLEAR
+        assert (
+            self.quarantines["u1"].find_status(POISON, self.now)
+            is FingerprintStatus.CLEAR
+        )
 
 
 def test_a_poisonous_request_is_held_to_one_upstream_and_then_refused():
@@ -158,10 +166,13 @@
     quarantine.note_answer(1, now)
     quarantine.note_crash(CrashId("u2", "b1"), [POISON], now)
     quarantine.note_answer(POISON, now)
-    assert quarantine.judge(1, now) is Standing.CLEAR
-    assert quarantine.judge(POISON, now) is Standing.REFUSED
+    assert quarantine.find_status(1, now) is FingerprintStatus.CLEAR
+    assert quarantine.find_status(POISON, now) is FingerprintStatus.REFUSED
     refusal = quarantine.refuse(POISON, now)
-    assert quarantine.judge(POISON, now + refusal.retry_after) is Standing.CLEAR
+    assert (
+        quarantine.find_status(POISON, now + refusal.retry_after)
+        is FingerprintStatus.CLEAR
+    )
 
 
 @given(order=st.permutations(range(6)))
@@ -180,8 +191,8 @@
     for batch in records:
         other.merge(batch, now)
     for fingerprint in range(6):
-        expected = other.judge(fingerprint, now)
-        assert target.judge(fingerprint, now) is expected
+        expected = other.find_status(fingerprint, now)
+        assert target.find_status(fingerprint, now) is expected
 
 
 def test_changes_are_told_in_bounded_parts_until_all_are_known():
@@ -203,7 +214,7 @@
 @STEADY
 def test_retries_stay_within_the_ratio_of_first_attempts(calls):
     """All upstreams fail and every caller's work is retried as often as may be."""
-    budget = RetryBudget(ratio=0.1, capacity=3, trickle=0.1, entry_capacity=5)
+    budget = RetryBudget(ratio=0.1, capacity=3, refill_rate=0.1, entry_capacity=5)
     now, retries, first = timedelta(), 0, 0
     for customer, pause in calls:
         now += timedelta(milliseconds=pause)
@@ -232,18 +243,18 @@
     attempt's frame lies in its socket. When it wakes, it must not run it."""
     tombstones = Tombstones(retention=timedelta(seconds=60))
     now = timedelta()
-    assert tombstones.bury(("r", 1), now)
+    assert tombstones.add(("r", 1), now)
     for ran, gap in enumerate(gaps):
         now += timedelta(seconds=gap)
-        assert tombstones.holds(("r", 1), now), f"forgotten after {ran} steps"
+        assert tombstones.contains(("r", 1), now), f"forgotten after {ran} steps"
 
 
 def test_an_agent_without_room_affirms_nothing_and_forgets_nothing_early():
     tombstones = Tombstones(retention=timedelta(seconds=60), capacity=1)
-    assert tombstones.bury(("r", 1), timedelta())
-    assert not tombstones.bury(("r", 2), timedelta())
-    assert tombstones.holds(("r", 1), timedelta())
+    assert tombstones.add(("r", 1), timedelta())
+    assert not tombstones.add(("r", 2), timedelta())
+    assert tombstones.contains(("r", 1), timedelta())
     for second in range(1, 62):
         tombstones.tick(timedelta(seconds=second))
-    assert not tombstones.holds(("r", 1), timedelta(seconds=61))
-    assert tombstones.bury(("r", 2), timedelta(seconds=61))
+    assert not tombstones.contains(("r", 1), timedelta(seconds=61))
+    assert tombstones.add(("r", 2), timedelta(seconds=61))
--- a/packages/mustardquay/tests/test_rate_shares.py
+++ b/packages/mustardquay/tests/test_rate_shares.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from mustardquay.rate_limits import LimitBook
+from mustardquay.rate_limits import RateLimiter
 from mustardquay.upstream_lists import UpstreamRecord
 
 ENGINE = UpstreamRecord("e", "llm", "10.0.0.1:80", "a", 64, False)
@@ -66,10 +66,10 @@
         return self
 
     def start(self, gateway, now):
-        book = self.books[gateway] = LimitBook()
+        book = self.books[gateway] = RateLimiter()
         told = [str(each) for each in self.list_told(gateway)]
-        strangers = self.size - 1 - len(told)
-        book.demand.list_gateways(told, strangers, timedelta(seconds=now))
+        unlinked = self.size - 1 - len(told)
+        book.demand.set_gateways(told, unlinked, timedelta(seconds=now))
 
     def tell(self, gateway, now):
         if now < self.told_at[gateway]:
@@ -77,16 +77,16 @@
         self.told_at[gateway] = now + self.interval
         at = timedelta(seconds=now)
         book = self.books[gateway]
-        demands = book.demand.tell(at) if book.knows_any(at) else None
-        notices = book.tell(at)
+        demands = book.demand.list_demands(at) if book.has_limits(at) else None
+        notices = book.list_notices(at)
         for other in self.list_told(gateway):
             is_cut = gateway in self.cut_off or other in self.cut_off
             if is_cut or other not in self.books or self.random.random() < LOST:
                 continue
             heard = self.books[other]
-            heard.demand.hear(str(gateway), demands, at)
+            heard.demand.apply_demands(str(gateway), demands, at)
             for notice in notices:
-                heard.hear_notice(notice, at)
+                heard.apply_notice(notice, at)
 
     def take_callers(self, gateway, now):
         if self.random.random() >= self.loads(gateway, now) * STEP:
@@ -94,7 +94,7 @@
         at = timedelta(seconds=now)
         book = self.books[gateway]
         book.demand.count_request(ENGINE.service, at)
-        if book.expect_wait(ENGINE, at) <= LONGEST_TURN:
+        if book.predict_wait(ENGINE, at) <= LONGEST_TURN:
             turn_at = book.reserve(ENGINE, at).at.total_seconds()
             self.sent.append(turn_at)
             self.answers.append((turn_at + ANSWERED, gateway))
@@ -105,7 +105,7 @@
         for _, gateway in due:
             if gateway in self.books:
                 at = timedelta(seconds=now)
-                self.books[gateway].hear(ENGINE.id, self.limit, at)
+                self.books[gateway].update(ENGINE.id, self.limit, at)
 
     @property
     def most(self):
--- a/packages/mustardquay/tests/test_retry_decisions.py
+++ b/packages/mustardquay/tests/test_retry_decisions.py
@@ -4,7 +4,7 @@
 import pytest
 
 from mustardquay.requests import SendEnd
-from mustardquay.retry_decisions import NextStep, Sendings, decide_next
+from mustardquay.retry_decisions import NextStep, SendHistory, decide_next
 from mustardquay.routing_tables import Repeat, Route
 
 SECOND = timedelta(seconds=1)
@@ -14,8 +14,8 @@
 RESUMABLE = replace(STREAM, resumable=True)
 
 
-def decide(route, end, status=0, events_passed=False, before=(), left=SECOND):
-    sendings = Sendings(events_passed=events_passed)
+def decide(route, end, status=0, has_sent_events=False, before=(), left=SECOND):
+    sendings = SendHistory(has_sent_events=has_sent_events)
     for earlier in (*before, end):
         sendings.note(earlier)
     return decide_next(route, sendings, end, status, left)
@@ -63,9 +63,9 @@
 
 def test_a_broken_stream_goes_on_only_where_it_may_be_resumed():
     broken = SendEnd.BROKEN
-    assert decide(RESUMABLE, broken, events_passed=True) is NextStep.RESUME
-    assert decide(STREAM, broken, events_passed=True) is NextStep.FAIL
-    assert decide(AGAIN, broken, events_passed=True) is NextStep.FAIL
+    assert decide(RESUMABLE, broken, has_sent_events=True) is NextStep.RESUME
+    assert decide(STREAM, broken, has_sent_events=True) is NextStep.FAIL
+    assert decide(AGAIN, broken, has_sent_events=True) is NextStep.FAIL
 
 
 def test_nothing_is_sent_without_time_for_an_answer():
--- a/packages/mustardquay/tests/test_route_times.py
+++ b/packages/mustardquay/tests/test_route_times.py
@@ -2,19 +2,19 @@
 
 from datetime import timedelta
 
-from mustardquay.route_times import HEADROOM, LEAST_SAMPLES, WINDOW, RouteTimes
+from mustardquay.route_times import HEADROOM, MIN_SAMPLES, WINDOW, RouteTimes
 
 SECOND = timedelta(seconds=1)
 
 
 def note_many(times, longest, now=SECOND):
-    for number in range(1, LEAST_SAMPLES + 1):
-        times.note("r", now, longest * number / LEAST_SAMPLES)
+    for number in range(1, MIN_SAMPLES + 1):
+        times.note("r", now, longest * number / MIN_SAMPLES)
 
 
 def test_a_few_answers_tell_nothing():
     times = RouteTimes()
-    for _ in range(LEAST_SAMPLES - 1):
+    for _ in range(MIN_SAMPLES - 1):
         times.note("r", SECOND, SECOND)
     assert times.find_longest("r", SECOND) is None
     assert times.find_longest("other", SECOND) is None
@@ -28,12 +28,12 @@
 
 def test_a_stream_may_become_as_long_as_its_caller_allows():
     times = RouteTimes()
-    for _ in range(LEAST_SAMPLES):
+    for _ in range(MIN_SAMPLES):
         times.note("r", SECOND, SECOND / 10, 4 * SECOND, events=80)
     longest = times.find_longest("r", SECOND)
     assert longest.first == HEADROOM * SECOND / 10
-    assert longest.expect_stream(20) == HEADROOM * 1.1 * SECOND
-    assert longest.expect_stream(160) == HEADROOM * 8.1 * SECOND
+    assert longest.predict_stream(20) == HEADROOM * 1.1 * SECOND
+    assert longest.predict_stream(160) == HEADROOM * 8.1 * SECOND
 
 
 def test_what_was_long_ago_is_forgotten():
--- a/packages/mustardquay/tests/test_stop_bounds.py
+++ b/packages/mustardquay/tests/test_stop_bounds.py
@@ -10,7 +10,7 @@
     is_next_to_end,
 )
 from mustardquay.peer_books import DIGEST_LIFETIME, PeerDigest
-from mustardquay.route_times import LEAST_SAMPLES, RouteTimes
+from mustardquay.route_times import MIN_SAMPLES, RouteTimes
 
 SECOND = timedelta(seconds=1)
 MILLISECOND = timedelta(milliseconds=1)
@@ -64,10 +64,10 @@
     """
     times = RouteTimes()
     token = timedelta(milliseconds=20)
-    for _ in range(LEAST_SAMPLES):
+    for _ in range(MIN_SAMPLES):
         times.note("r", SECOND, token, 20 * token, events=20)
     longest = times.find_longest("r", SECOND)
-    assert longest.expect_stream(200) >= token + 200 * token
+    assert longest.predict_stream(200) >= token + 200 * token
 
 
 def test_a_gateway_that_has_just_become_ready_does_not_yet_relieve_others():
--- a/packages/mustardquay/tests/test_stop_fleets.py
+++ b/packages/mustardquay/tests/test_stop_fleets.py
@@ -10,8 +10,8 @@
 from mustardquay.fleet_books import FleetBook, is_needed, is_next_to_end
 from mustardquay.peer_books import PeerDigest
 from mustardquay.stops import (
-    Demand,
-    StopPlace,
+    RequestEstimate,
+    StopContext,
     StopState,
     StopTimes,
     admit_request,
@@ -61,7 +61,7 @@
         state = self.find_state(name)
         if gateway.times is None:
             gateway.running.append(now + longest)
-        elif admit_request(state, gateway.times, now, Demand(longest, None)):
+        elif admit_request(state, gateway.times, now, RequestEstimate(longest, None)):
             gateway.running.append(now + longest)
             assert now + longest < gateway.times.ends_at
 
@@ -118,7 +118,7 @@
         if gateway.times is None:
             return StopState.SERVING
         members = gateway.fleet.list_members(now)
-        place = StopPlace(
+        place = StopContext(
             is_needed(ZONES[name], members),
             is_next_to_end(name, members),
         )
--- a/packages/mustardquay/tests/test_stops.py
+++ b/packages/mustardquay/tests/test_stops.py
@@ -6,7 +6,7 @@
 
 from mustardquay.route_times import LongestTimes
 from mustardquay.stops import (
-    Demand,
+    RequestEstimate,
     StopState,
     StopTimes,
     admit_request,
@@ -18,7 +18,7 @@
 MOMENTS = st.integers(9_000, 18_000).map(lambda ms: timedelta(milliseconds=ms))
 LENGTHS = st.integers(0, 20_000).map(lambda ms: timedelta(milliseconds=ms))
 DEMANDS = st.builds(
-    Demand,
+    RequestEstimate,
     LENGTHS,
     st.none() | st.builds(LongestTimes, LENGTHS, LENGTHS),
     st.integers(0, 200),
@@ -50,14 +50,18 @@
 
 
 def test_a_request_that_ends_by_its_own_limit_is_taken():
-    assert admit_request(LEAVING, TIMES, 11 * SECOND, Demand(2 * SECOND, None))
-    assert not admit_request(LEAVING, TIMES, 11 * SECOND, Demand(6 * SECOND, None))
-    last_calls = StopState.LAST_CALLS
-    assert not admit_request(last_calls, TIMES, 11 * SECOND, Demand(SECOND, None))
+    assert admit_request(LEAVING, TIMES, 11 * SECOND, RequestEstimate(2 * SECOND, None))
+    assert not admit_request(
+        LEAVING, TIMES, 11 * SECOND, RequestEstimate(6 * SECOND, None)
+    )
+    last_calls = StopState.DRAINING
+    assert not admit_request(
+        last_calls, TIMES, 11 * SECOND, RequestEstimate(SECOND, None)
+    )
 
 
 def test_a_plain_request_is_taken_by_what_its_route_has_taken():
-    demand = Demand(15 * SECOND, LongestTimes(SECOND, 0 * SECOND))
+    demand = RequestEstimate(15 * SECOND, LongestTimes(SECOND, 0 * SECOND))
     begin_by = admit_request(LEAVING, TIMES, 15 * SECOND, demand)
     assert begin_by == TIMES.answer_by
     assert not admit_request(LEAVING, TIMES, 16 * SECOND, demand)
@@ -69,8 +73,10 @@
     It was held to end in time by its events, of which each took longer than before.
     """
     longest = LongestTimes(SECOND, SECOND / 20)
-    demand = Demand(15 * SECOND, longest, 40, is_stream=True, is_resumable=True)
+    demand = RequestEstimate(
+        15 * SECOND, longest, 40, is_stream=True, is_resumable=True
+    )
     assert admit_request(LEAVING, TIMES, 11 * SECOND, demand)
     assert not admit_request(LEAVING, TIMES, 13 * SECOND, demand)
-    unresumable = Demand(15 * SECOND, longest, 40, is_stream=True)
+    unresumable = RequestEstimate(15 * SECOND, longest, 40, is_stream=True)
     assert not admit_request(LEAVING, TIMES, 11 * SECOND, unresumable)
--- a/packages/mustardquay/tests/test_version_trackers.py
+++ b/packages/mustardquay/tests/test_version_trackers.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from mustardquay.version_trackers import TableState, VersionBook
+from mustardquay.version_trackers import TableState, VersionTracker
 
 
 def at(seconds):
@@ -11,23 +11,23 @@
 
 def test_the_lag_counts_from_the_oldest_version_that_is_missing():
     """A process that is always one version late would else count as up to date."""
-    book = VersionBook()
-    book.put(4)
-    assert book.hear(5, at(1))
-    assert book.hear(7, at(2))
-    assert not book.hear(5, at(3))
+    book = VersionTracker()
+    book.set_in_force(4)
+    assert book.note_version(5, at(1))
+    assert book.note_version(7, at(2))
+    assert not book.note_version(5, at(3))
     assert (book.known, book.measure_lag(at(4))) == (7, at(3))
-    book.put(5)
+    book.set_in_force(5)
     assert (book.known, book.measure_lag(at(4))) == (7, at(2))
-    book.put(7)
+    book.set_in_force(7)
     assert (book.is_behind, book.measure_lag(at(4))) == (False, at(0))
 
 
 def test_versions_that_are_not_newer_are_no_news():
-    book = VersionBook()
-    book.put(4)
-    assert not book.hear(4, at(1))
-    assert not book.hear(3, at(1))
+    book = VersionTracker()
+    book.set_in_force(4)
+    assert not book.note_version(4, at(1))
+    assert not book.note_version(3, at(1))
     assert not book.is_behind
 
 
@@ -43,13 +43,13 @@
 )
 def test_a_table_is_outdated_once_most_others_have_a_newer_one(others, seconds, state):
     """Guards against callers that are all turned to the one gateway that is ahead."""
-    book = VersionBook()
-    book.put(4)
-    book.hear(5, at(10))
-    assert book.judge(others, at(2), at(10 + seconds)) is state
+    book = VersionTracker()
+    book.set_in_force(4)
+    book.note_version(5, at(10))
+    assert book.find_state(others, at(2), at(10 + seconds)) is state
 
 
 def test_a_table_with_nothing_newer_is_current():
-    book = VersionBook()
-    book.put(4)
-    assert book.judge([4, 3], at(2), at(99)) is TableState.CURRENT
+    book = VersionTracker()
+    book.set_in_force(4)
+    assert book.find_state([4, 3], at(2), at(99)) is TableState.CURRENT
