--- a/packages/mustardquay/src/mustardquay/messages.py
+++ b/packages/mustardquay/src/mustardquay/messages.py
@@ -1,7 +1,7 @@
-"""Messages: what entries and agents tell each other about attempts.
+"""Messages: what entries and agents exchange about attempts.
 
-Frames from the agent to the entry carry `index`, counted from 0 in each attempt,
-so that a frame that is late, doubled or missing is seen as such.
+Frames from the agent to the entry have an `index`, counted from 0 in each attempt, so
+that late, duplicate and missing frames are detected.
 """
 
 from dataclasses import dataclass
@@ -39,18 +39,18 @@
 
 
 class FailureKind(StrEnum):
-    """Why an attempt that may have run has no whole answer."""
+    """Why an attempt that may have run has no complete answer."""
 
     CRASH = "crash"
-    """The upstream died while the attempt ran."""
+    """The upstream crashed while the attempt ran."""
     ERROR = "error"
     """The engine answered with a status of 500 or above."""
     LOST = "lost"
-    """The agent no longer knows what became of the attempt."""
+    """The agent has no state of the attempt any more."""
     STALLED = "stalled"
-    """The upstream made no progress for the time that the settings allow."""
+    """The upstream made no progress within the configured timeout."""
     TRUNCATED = "truncated"
-    """The answer ended before its end mark."""
+    """The answer ended before its end marker."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -58,12 +58,12 @@
     """Entry to agent: run this on your upstream."""
 
     stream: int
-    """Number of the attempt in its entry process; rises with each attempt."""
+    """Number of the attempt in its entry process; increases with each attempt."""
     request: str
     number: int
     """Number of the attempt within its request, from 1."""
     incarnation: int
-    """Incarnation of the agent that the attempt is meant for."""
+    """Incarnation of the agent for which the attempt is intended."""
     customer: str
     model: str
     adapter: str
@@ -76,7 +76,7 @@
     share: float
     priority: int
     start_within: timedelta
-    """Time left until the first token must come, when the frame was sent."""
+    """Time left until the first token is due, when the frame was sent."""
     finish_within: timedelta
     prefix: tuple[int, ...]
     fingerprint: int
@@ -88,13 +88,13 @@
     """Prompt tokens that the entry expects the engine to have cached."""
     between_tokens: timedelta = timedelta(milliseconds=60)
     claim: bytes = b""
-    """Claim of non-repeatable work, in JSON, under which the agent records an
-    answer that the entry can't take any more."""
+    """Claim of non-idempotent work, in JSON, under which the agent records an answer
+    that it can no longer deliver to the entry."""
 
 
 @dataclass(frozen=True, slots=True)
 class Reattach:
-    """Entry to agent, over a new link: go on sending from frame `have`."""
+    """Entry to agent, over a new link: continue sending from frame `have`."""
 
     stream: int
     request: str
@@ -112,7 +112,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Credit:
-    """Entry to agent: the caller has taken this many more bytes."""
+    """Entry to agent: the caller has received this many more bytes."""
 
     stream: int
     size: int
@@ -120,7 +120,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Started:
-    """Agent to entry: the attempt goes to the upstream now."""
+    """Agent to entry: the attempt is being sent to the upstream."""
 
     stream: int
     index: int
@@ -138,7 +138,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Chunk:
-    """Agent to entry: the next part of the answer; whole events of a stream."""
+    """Agent to entry: the next part of the answer; for a stream, whole events."""
 
     stream: int
     index: int
@@ -148,7 +148,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Done:
-    """Agent to entry: the answer is whole."""
+    """Agent to entry: the answer is complete."""
 
     stream: int
     index: int
@@ -167,7 +167,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Failed:
-    """Agent to entry: the attempt may have run, and has no whole answer."""
+    """Agent to entry: the attempt may have run, and has no complete answer."""
 
     stream: int
     index: int
@@ -180,64 +180,64 @@
 
 @dataclass(frozen=True, slots=True)
 class Heartbeat:
-    """Both ways: the sender lives; an agent adds the state of its upstream."""
+    """Both ways: the sender is alive; an agent adds the state of its upstream."""
 
     version: int = 0
     """Configuration version in force at the sender."""
     confirmed: bool = False
-    """Whether the sender knows its version to have been the store's head."""
+    """Whether the sender has verified that its version was the store's head."""
     draining: bool = False
     ready: bool = True
     upstream: str = ""
-    """Name of the upstream beside an agent."""
+    """Name of the agent's upstream."""
     role: Role = Role.MIXED
     models: tuple[str, ...] = ()
     adapters: tuple[str, ...] = ()
     queued_tokens: int = 0
     queued_tokens_within: int = 0
-    """The part of them that customers within their share wait for."""
+    """The part of `queued_tokens` of customers within their share."""
     waiting: int = 0
     running: int = 0
     prefill_rate: float = 0.0
-    """Prompt tokens a second; 0 when not known."""
+    """Prompt tokens per second; 0 if not known."""
     decode_rate: float = 0.0
-    """Tokens a second of one stream; 0 when not known."""
+    """Tokens per second of one stream; 0 if not known."""
     agents: int = 0
-    """Agents in the fleet, as an entry has them from the instance list."""
+    """Number of agents in the fleet, by the instance list of an entry."""
     concurrency: int = 0
-    """Attempts that the agent runs at once; 0 when not told."""
+    """Maximum concurrent attempts at the agent; 0 if not reported."""
     crashes: tuple[CrashRecord, ...] = ()
-    """What was in flight when upstreams crashed, changed since the last one sent."""
+    """Crash records that changed since the last heartbeat."""
 
 
 @dataclass(frozen=True, slots=True)
 class CacheEvents:
-    """Agent to entry: what its engine's prefix cache took in and dropped.
+    """Agent to entry: what the engine's prefix cache has stored and evicted.
 
-    Each link gets the events from when it was opened; the numbers tell of gaps.
+    Each link gets the events since it was opened; gaps in their numbers show losses.
     """
 
     boot: str
-    """The engine's boot; the events of another boot say nothing of its cache."""
+    """The engine's boot; events of another boot don't apply to its cache."""
     oldest: int
     events: tuple[CacheEvent, ...] = ()
 
 
 @dataclass(frozen=True, slots=True)
 class OrderChanged:
-    """Entry to agent: the order row of your upstream has changed; read it."""
+    """Entry to agent: the order row of the agent's upstream has changed; read it."""
 
 
 @dataclass(frozen=True, slots=True)
 class ConfigurationEntries:
-    """Both ways: entries of the configuration log, encoded, in order."""
+    """Both ways: encoded entries of the configuration log, in order."""
 
     entries: tuple[bytes, ...] = ()
 
 
 @dataclass(frozen=True, slots=True)
 class ConfigurationWanted:
-    """Both ways: send me the entries behind this version."""
+    """Both ways: request the entries after this version."""
 
     after: int = 0
 
--- a/packages/mustardquay/src/mustardquay/outcomes.py
+++ b/packages/mustardquay/src/mustardquay/outcomes.py
@@ -1,4 +1,4 @@
-"""Outcomes: the three ends that a request can come to."""
+"""Outcomes: the three possible results of a request."""
 
 from enum import StrEnum
 
@@ -6,11 +6,11 @@
 
 
 class Outcome(StrEnum):
-    """What a caller is told about its request, in `Mustardquay-Outcome`."""
+    """The result of a request, as in the header `Mustardquay-Outcome`."""
 
     ANSWERED = "answered"
-    """The whole answer was passed to the caller."""
+    """The complete answer was delivered to the caller."""
     NOT_RUN = "not-run"
-    """No upstream has run the request, and none will under this id."""
+    """No upstream has run the request, and none will run it under this id."""
     UNKNOWN = "unknown"
     """An upstream may have run the request in whole or in part."""
--- a/packages/mustardquay/src/mustardquay/retry_windows.py
+++ b/packages/mustardquay/src/mustardquay/retry_windows.py
@@ -11,7 +11,7 @@
 
 __all__ = ["RetryLimits", "RetryWindow"]
 
-RATIO_SHARE = 0.8
+USED_RATIO_FRACTION = 0.8
 """Fraction of the ratio that is used. Callers choose a process for each connection,
 so the requests of the last window may have gone to another process."""
 
@@ -49,7 +49,7 @@
         """Count repeated sends if all of them are within the limit."""
         self._expire(now)
         share = self._limits.allowance / self._processes
-        bound = RATIO_SHARE * self._limits.ratio * len(self._requests) + share
+        bound = USED_RATIO_FRACTION * self._limits.ratio * len(self._requests) + share
         if len(self._repeats) + sends > bound:
             return False
         self._repeats.extend([now] * sends)
--- a/packages/mustardquay/src/mustardquay/route_times.py
+++ b/packages/mustardquay/src/mustardquay/route_times.py
@@ -1,10 +1,10 @@
-"""Route times: the longest that requests have lately taken, by their route.
+"""Route times: the longest recent durations of requests, by route.
 
-A gateway that stops asks whether a request ends in time. The route's timeout answers
-that too, but it is many times what requests usually take.
+A gateway that is shutting down needs to estimate whether a request ends in time. The
+route's timeout is an upper bound, but many times the usual duration.
 
-Those that still wait for their answer count by their age. Guards against a gateway that
-has just started and knows only its quick answers: the slow ones haven't ended yet.
+Requests that still wait for their answer count by their age. Guards against a gateway
+that has just started and has seen only fast answers: the slow requests haven't ended.
 """
 
 from dataclasses import dataclass, field
@@ -13,32 +13,33 @@
 __all__ = ["LongestTimes", "RouteTimes", "WaitingRequest"]
 
 WINDOW = timedelta(seconds=20)
-"""Answers of the present window and the one before it count: some hundred on a route
-that is in use, and none from before a change of what upstreams can do for long."""
+"""Answers of the current window and the previous one count: about a hundred on a route
+in use, while answers from before a change of the upstreams' speed soon expire."""
 MIN_SAMPLES = 50
-"""Answers below which nothing is known: of so many, the next one takes longer than all
-of them once in fifty times, whatever their times are like."""
+"""Minimum answers for an estimate: after so many, the next one takes longer than all of
+them once in fifty times, whatever the distribution of the times."""
 HEADROOM = 2.0
-"""Times the longest that was seen: upstreams that others load take longer soon."""
+"""Factor over the longest observed time: upstreams can be loaded by other gateways and
+become slower."""
 
 
 @dataclass(frozen=True, slots=True)
 class LongestTimes:
-    """What a request of a route takes at the longest, with headroom."""
+    """The estimated maximum duration of a request of a route, with headroom."""
 
     first: timedelta
-    """To the first part of its answer."""
+    """Time to the first part of the answer."""
     per_event: timedelta
-    """From there to its end, for each event of a stream."""
+    """Time for each event of a stream after that."""
 
     def predict_stream(self, max_events: int) -> timedelta:
-        """Return the time to the end of a stream of at most so many events."""
+        """Return the time to the end of a stream of at most `max_events` events."""
         return self.first + max_events * self.per_event
 
 
 @dataclass(frozen=True, eq=False, slots=True)
 class WaitingRequest:
-    """A request of which no part of the answer has come."""
+    """A request of whose answer nothing has arrived yet."""
 
     route: str
     since: timedelta
@@ -46,7 +47,7 @@
 
 @dataclass(slots=True)
 class _Window:
-    """The longest of the answers of one window."""
+    """The longest times of the answers of one window."""
 
     samples: int = 0
     first: timedelta = timedelta()
@@ -59,36 +60,36 @@
 
 
 @dataclass(slots=True)
-class _Recent:
-    began_at: timedelta
-    present: _Window = field(default_factory=_Window)
-    before: _Window = field(default_factory=_Window)
-
-    def turn(self, now: timedelta) -> None:
-        """Begin a new window when the present one is over."""
-        passed = (now - self.began_at) // WINDOW
+class _RecentWindows:
+    started_at: timedelta
+    current: _Window = field(default_factory=_Window)
+    previous: _Window = field(default_factory=_Window)
+
+    def rotate(self, now: timedelta) -> None:
+        """Start a new window if the current one has ended."""
+        passed = (now - self.started_at) // WINDOW
         if passed == 0:
             return
-        self.before = self.present if passed == 1 else _Window()
-        self.present = _Window()
-        self.began_at += passed * WINDOW
+        self.previous = self.current if passed == 1 else _Window()
+        self.current = _Window()
+        self.started_at += passed * WINDOW
 
 
 @dataclass(slots=True)
 class RouteTimes:
-    """The longest times of all routes."""
+    """The longest recent times of all routes."""
 
-    _routes: dict[str, _Recent] = field(default_factory=dict)
+    _routes: dict[str, _RecentWindows] = field(default_factory=dict)
     _waiting: dict[str, set[WaitingRequest]] = field(default_factory=dict)
 
     def begin(self, route: str, now: timedelta) -> WaitingRequest:
-        """Note that a request waits for its answer."""
+        """Record that a request waits for its answer."""
         waiting = WaitingRequest(route, now)
         self._waiting.setdefault(route, set()).add(waiting)
         return waiting
 
     def end(self, waiting: WaitingRequest) -> None:
-        """Note that a request waits no longer; may be called twice."""
+        """Record that a request no longer waits; idempotent."""
         self._waiting[waiting.route].discard(waiting)
 
     def note(
@@ -99,22 +100,22 @@
         rest: timedelta = timedelta(),
         events: int = 0,
     ) -> None:
-        """Take in an answer, or what there was of one that did not come to its end.
+        """Record the times of an answer, which may be incomplete.
 
-        Its first part came after `first`, its last one `rest` later, with as many
-        `events` of a stream.
+        Its first part arrived after `first` and its last part `rest` later, with
+        `events` events of a stream.
         """
-        recent = self._routes.setdefault(route, _Recent(now))
-        recent.turn(now)
-        recent.present.note(first, rest, events)
+        recent = self._routes.setdefault(route, _RecentWindows(now))
+        recent.rotate(now)
+        recent.current.note(first, rest, events)
 
     def find_longest(self, route: str, now: timedelta) -> LongestTimes | None:
-        """Return what requests take at the longest; None if too few were seen."""
+        """Return the longest times of a route; None if there are too few samples."""
         recent = self._routes.get(route)
         if recent is None:
             return None
-        recent.turn(now)
-        windows = (recent.present, recent.before)
+        recent.rotate(now)
+        windows = (recent.current, recent.previous)
         if sum(each.samples for each in windows) < MIN_SAMPLES:
             return None
         ages = [now - each.since for each in self._waiting.get(route, ())]
--- a/packages/mustardquay/src/mustardquay/routing_tables.py
+++ b/packages/mustardquay/src/mustardquay/routing_tables.py
@@ -1,7 +1,7 @@
-"""Routing tables: which service answers a request, and under which limits.
+"""Routing tables: which service handles a request, and under which limits.
 
-A table is one version of the operator's configuration, checked and immutable. A
-request is bound to the table under which its head was read.
+A table is one version of the operator's configuration, validated and immutable. A
+request uses the table that was in force when its head was read.
 """
 
 from collections.abc import Iterable
@@ -23,17 +23,17 @@
 
 
 class Repeat(StrEnum):
-    """Whether a request may be run again."""
+    """Whether a request may be executed more than once."""
 
     IDEMPOTENT = "idempotent"
     AT_MOST_ONCE = "at_most_once"
     STREAM = "stream"
-    """Events; at most once, unless the route lets a broken stream be resumed."""
+    """Streams of events; at most once, unless the route allows resuming a stream."""
 
 
 @dataclass(frozen=True, slots=True)
 class Backend:
-    """One service behind a route, with its share of the route's requests."""
+    """A service behind a route, with its weight among the backends of the route."""
 
     service: str
     weight: float
@@ -41,7 +41,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Route:
-    """What the operator promises for the requests below one path prefix."""
+    """The operator's settings for the requests under one host and path prefix."""
 
     name: str
     host: str
@@ -50,38 +50,38 @@
     repeat: Repeat
     backends: tuple[Backend, ...]
     timeout: timedelta
-    """Longest time a caller is kept waiting for its whole answer."""
+    """Maximum time until the caller has the complete answer."""
     latency_target: timedelta
     """Time to the first byte within which an answer is on time."""
     priority: int = 0
-    """Rank among routes; 0 goes first."""
+    """Rank among routes; 0 is the highest."""
     max_attempts: int = 1
-    """Upstreams that one request may be sent to."""
+    """Maximum number of upstreams to which one request may be sent."""
     has_prompt: bool = False
-    """Whether requests carry the parts of a prompt, so that caches matter."""
+    """Whether requests declare the parts of a prompt, so that prefix caches matter."""
     resumable: bool = False
     longest_pause: timedelta | None = None
-    """Longest time between two events of a stream that is still on time."""
+    """Maximum time between two events of a stream that is on time."""
 
     @property
     def is_repeatable(self) -> bool:
-        """Return whether a request that may have run may be sent again."""
+        """Return whether a request may be sent again after it may have run."""
         return self.repeat is Repeat.IDEMPOTENT
 
 
 @dataclass(frozen=True, slots=True)
 class EngineTraits:
-    """What the operator declares of the model engines of one service."""
+    """The operator's settings for the model engines of one service."""
 
     slots: int
     kv_tokens: int
-    """Tokens of KV cache that one engine holds."""
+    """KV cache capacity of one engine, in tokens."""
     handle_lifetime: timedelta
-    """How long an engine keeps a prefilled prompt for another to fetch."""
+    """How long an engine keeps a prefilled prompt for another engine to fetch."""
     switch_time: timedelta
-    """How long an engine is away while it changes its role."""
+    """How long an engine is unavailable while it changes its role."""
     steps_per_event: int = 1
-    """Steps of generation that an engine gathers in one event of a stream."""
+    """Generation steps that an engine combines in one event of a stream."""
     copy_seconds: float = 0.0
     """Seconds to copy one token of KV cache between engines; 0 if not declared."""
 
@@ -92,13 +92,13 @@
 
     name: str
     max_connections: int
-    """Connections that one upstream takes from all callers together."""
+    """Maximum connections to one upstream, from all its clients together."""
     engine: EngineTraits | None = None
 
 
 @dataclass(frozen=True, slots=True)
 class CallerLimits:
-    """What a caller may send, and how long it may take."""
+    """Size and time limits for the requests of callers."""
 
     header_bytes: int = 16_384
     body_bytes: int = 4_194_304
@@ -123,9 +123,9 @@
         return hosts
 
     def find_route(self, host: str, path: str) -> Route | None:
-        """Return the route of `host` with the longest prefix that begins `path`.
+        """Return the route of `host` with the longest prefix of `path`.
 
-        The cost grows with the slashes of the path, not with the routes.
+        The cost grows with the number of slashes in the path, not of routes.
 
         >>> everything = Route("all", "a.example", "/", Repeat.IDEMPOTENT, (),
         ...     timedelta(1), timedelta(1))
@@ -149,7 +149,7 @@
 
 
 def choose_backend(backends: Iterable[Backend], draw: float) -> str | None:
-    """Return the service that a uniform `draw` from [0, 1) falls to.
+    """Return the service selected by `draw`, a uniform random number from [0, 1).
 
     >>> pair = (Backend("a", 90), Backend("b", 10))
     >>> choose_backend(pair, 0.89), choose_backend(pair, 0.91)
--- a/packages/mustardquay/src/mustardquay/stops.py
+++ b/packages/mustardquay/src/mustardquay/stops.py
@@ -1,15 +1,15 @@
-"""Stops: what a gateway that was told to end still takes, and when it ends.
-
-Each state guards against a failure of planned stops:
-
-- leaving: the balancer goes on sending callers for a while, and for the whole stop
-  where too few other gateways are ready. What gets its whole answer in the time that is
-  left is taken; anything else is refused, since an answer that is cut off is worse than
-  none.
-- last calls: others are ready. Nothing is taken any more, so that the process ends as
-  soon as what runs has ended; callers that come all the same are told so and not left
-  without a word.
-- closed: the time is over, or nothing runs.
+"""Graceful stop: which requests a stopping gateway accepts, and when it exits.
+
+Each state guards against a failure during planned stops:
+
+- leaving: the load balancer keeps routing callers to the gateway for a while, and for
+  the whole stop if too few other gateways are ready. Requests that can be answered
+  completely in the remaining time are accepted; all others are refused, since a
+  truncated answer is worse than none.
+- draining: other gateways are ready. No request is accepted, so that the process exits
+  as soon as the running ones have ended; callers that still connect get a refusal
+  rather than no response.
+- closed: the time is over, or no request is running.
 """
 
 from dataclasses import dataclass
@@ -30,14 +30,14 @@
 ]
 
 BALANCER_REMOVAL_DELAY = timedelta(seconds=2.6)
-"""Time after which the balancer sends nobody to a gateway that isn't ready: it asks
-each second and takes a gateway out after two answers."""
+"""Time after which the load balancer routes no callers to a gateway that isn't ready:
+it probes each second and removes a gateway after two failed probes."""
 ANSWER_MARGIN = timedelta(milliseconds=200)
-"""How long before the end of a stop the last answers are due, so that they arrive."""
+"""How long before the end of a stop the last answers must end, so that they arrive."""
 
 
 class StopState(StrEnum):
-    """How far a gateway is on its way to its end."""
+    """Phase of a gateway's graceful stop."""
 
     SERVING = "serving"
     LEAVING = "leaving"
@@ -47,35 +47,35 @@
 
 @dataclass(frozen=True, slots=True)
 class StopTimes:
-    """When a stop began and ends, on the monotonic clock."""
+    """Begin and end of a stop, on the monotonic clock."""
 
     began_at: timedelta
     ends_at: timedelta
 
     @property
     def answer_by(self) -> timedelta:
-        """Return when the last answers are due."""
+        """Return the time by which the last answers must end."""
         return self.ends_at - ANSWER_MARGIN
 
 
 @dataclass(frozen=True, slots=True)
 class StopContext:
-    """What a gateway is to its fleet while it stops."""
+    """State of the other gateways as far as it affects a stopping gateway."""
 
     is_still_routed: bool = False
-    """Whether the balancer sends callers all the same."""
+    """Whether the load balancer still routes callers to this gateway."""
     may_stop_early: bool = False
-    """Whether it is its turn to end early though it is needed."""
+    """Whether this gateway may exit early although callers are still routed to it."""
 
 
-NOT_NEEDED = StopContext()
+NOT_ROUTED = StopContext()
 
 
 def find_state(
     times: StopTimes | None,
     now: timedelta,
     in_flight: int,
-    place: StopContext = NOT_NEEDED,
+    context: StopContext = NOT_ROUTED,
 ) -> StopState:
     """Return the state of a gateway with `in_flight` requests.
 
@@ -94,27 +94,27 @@
         return StopState.CLOSED
     if now - times.began_at < BALANCER_REMOVAL_DELAY:
         return StopState.LEAVING
-    if place.is_still_routed and (in_flight or not place.may_stop_early):
+    if context.is_still_routed and (in_flight or not context.may_stop_early):
         return StopState.LEAVING
     return StopState.DRAINING if in_flight else StopState.CLOSED
 
 
 @dataclass(frozen=True, slots=True)
 class RequestEstimate:
-    """What a request needs of a gateway that stops."""
+    """Estimated duration of a request, and how it could be interrupted."""
 
     time_allowed: timedelta
-    """What its caller and its route leave it; it ends then in any case."""
+    """Timeout of its caller and its route, after which it ends in any case."""
     longest: LongestTimes | None
-    """What requests of its route have lately taken; None if that isn't known."""
+    """Longest recent times of its route; None if not known."""
     max_events: int = 0
-    """Events of its stream at most."""
+    """Maximum number of events of its stream."""
     is_stream: bool = False
     is_resumable: bool = False
 
     @property
     def expected(self) -> timedelta:
-        """Return the time that it is held to need."""
+        """Return the estimated maximum duration."""
         if self.longest is None:
             return self.time_allowed
         expected = self.longest.predict_stream(self.max_events)
@@ -122,30 +122,32 @@
 
 
 def admit_request(
-    state: StopState, times: StopTimes, now: timedelta, demand: RequestEstimate
+    state: StopState, times: StopTimes, now: timedelta, estimate: RequestEstimate
 ) -> timedelta | None:
     """Return when the answer of a request must have begun; None if it is refused.
 
-    Guards against a request that comes late in a stop, be it on an open connection or
-    on a new one: it would still run at the end, and be cut off in its answer. What
-    decides is asked of each request when it has been read, so that it doesn't matter
-    how it came.
-
-    A request whose own limit is over in time is taken. Of the others, an answer that
-    is passed on whole is held to what its route has lately taken; should that prove
-    wrong, its caller gets a word in its place. A stream that has begun can't be taken
-    back. So it is taken only in the first seconds, in which the balancer sends callers
-    as on any day, by the events that it may have, and if its caller can resume it:
-    should it last longer, it goes on at another gateway with each event once.
+    Guards against requests that arrive late in a stop, on an open connection or on a
+    new one: they would still run at its end, and their answers would be truncated.
+    Each request is checked after it has been read, so that it doesn't matter on which
+    connection it arrived.
+
+    A request whose timeout is before the end of the stop is accepted. Other requests
+    are accepted by an estimate. An answer that is passed on as a whole is estimated by
+    the recent times of its route; if the estimate is too low, the caller gets an error
+    instead. A stream can't be replaced by an error once it has begun. So it is accepted
+    only in the first seconds, in which the load balancer still routes callers normally,
+    if the time for its maximum number of events suffices and if its caller can resume
+    it: a stream that takes longer continues at another gateway, with each event
+    delivered once.
     """
     if state is not StopState.LEAVING:
         return None
-    ends_at = now + demand.time_allowed
+    ends_at = now + estimate.time_allowed
     if ends_at <= times.answer_by:
         return ends_at
-    if demand.longest is None or now + demand.expected > times.answer_by:
+    if estimate.longest is None or now + estimate.expected > times.answer_by:
         return None
     is_early = now - times.began_at < BALANCER_REMOVAL_DELAY
-    if demand.is_stream and not (is_early and demand.is_resumable):
+    if estimate.is_stream and not (is_early and estimate.is_resumable):
         return None
     return times.answer_by
--- a/packages/mustardquay/src/mustardquay/uplinks.py
+++ b/packages/mustardquay/src/mustardquay/uplinks.py
@@ -1,36 +1,36 @@
-"""Uplinks: how much waits to leave a gateway over the link of its instance.
+"""Uplinks: how much data waits to be sent over the network link of an instance.
 
-Answers gateways of unequal instances: some have links of 13 Mbit/s beside others of
-100. A long prompt of some 18 KB that is read at one engine and generated at another
-leaves twice, and 60 of them a second are more than a slow link takes.
+Gateways run on instances with different links: some have 13 Mbit/s, others 100. A long
+prompt of about 18 KB is sent twice if one engine prefills it and another generates, and
+60 of them per second exceed the capacity of a slow link.
 """
 
 from datetime import timedelta
 
 __all__ = ["Uplink"]
 
-USABLE_SHARE = 0.9
-"""Part of a link's rate that bodies get: headers of packets take 4 in 100, answers to
-callers and digests the rest."""
+USABLE_FRACTION = 0.9
+"""Fraction of a link's rate that is available for request bodies: packet headers take
+4 %, answers to callers and digests the rest."""
 BYTES_PER_MBIT = 125_000
 
 
 class Uplink:
-    """The bytes that this process has given to its link, as one queue."""
+    """Models the bytes that this process has sent to its link as one queue."""
 
     def __init__(self, mbit_per_s: float = 0.0):
-        """Take the rate of the link; 0 stands for one that never makes wait."""
-        self._rate = mbit_per_s * BYTES_PER_MBIT * USABLE_SHARE
+        """Set the rate of the link; 0 is for a link without delay."""
+        self._rate = mbit_per_s * BYTES_PER_MBIT * USABLE_FRACTION
         self._free_at = timedelta()
 
     def enqueue(self, size: int, now: timedelta) -> None:
-        """Note that `size` bytes are sent."""
+        """Record that `size` bytes are sent."""
         if self._rate:
             begin = max(self._free_at, now)
             self._free_at = begin + timedelta(seconds=size / self._rate)
 
     def predict_time(self, size: int, now: timedelta) -> timedelta:
-        """Return how long `size` bytes sent now take to have left.
+        """Return the time until `size` bytes sent now have left the link's queue.
 
         >>> link = Uplink(13)
         >>> now = timedelta(seconds=3)
--- a/packages/mustardquay/src/mustardquay/upstream_selection.py
+++ b/packages/mustardquay/src/mustardquay/upstream_selection.py
@@ -1,10 +1,11 @@
-"""Routes: which upstream gets an attempt.
-
-The choice minimises the predicted time to the first token, plus what the choice costs
-others: work ahead, uncached prompt, zone, adapter, and how well the role suits the
-work. Few upstreams are all weighed; of many, only the prefix's rendezvous choices
-(Thaler and Ravishankar, 1998), known holders of the prefix and some at random (the
-power of two choices; Mitzenmacher, 2001), so that the cost does not grow with them.
+"""Upstream selection: which upstream gets an attempt.
+
+The selection minimises the predicted time to the first token plus a cost for its effect
+on other work: queued work, uncached prompt, availability zone, adapter, and how well
+the engine's role fits the work. A small number of upstreams is evaluated completely; of
+a large number, only the rendezvous choice of the prefix (Thaler and Ravishankar, 1998),
+engines known to have the prefix cached and some random ones (the power of two choices;
+Mitzenmacher, 2001), so that the cost doesn't grow with the number of upstreams.
 """
 
 from collections.abc import Collection, Iterable, Sequence
@@ -21,13 +22,13 @@
 __all__ = ["choose_upstream", "predict_first_token"]
 
 RETRY_AFTER = timedelta(seconds=1)
-WEIGHED_AT_MOST = 8
+MAX_EVALUATED = 8
 RANDOM_CANDIDATES = 4
-RANDOM_TRIES = 16
-ZONE_SECONDS = 0.001
-UNFIT_SECONDS = 60.0
+MAX_RANDOM_DRAWS = 16
+ZONE_COST_SECONDS = 0.001
+UNFIT_COST_SECONDS = 60.0
 SHORT_ANSWER = 8
-"""Output tokens up to which an answer is as good as only its prefill."""
+"""Output tokens up to which the cost of an answer is practically only its prefill."""
 
 
 def choose_upstream(
@@ -39,8 +40,8 @@
     availability_zone: str = "",
     index: PrefixIndex | None = None,
 ) -> UpstreamView | Refusal:
-    """Return the upstream that may run this work and is expected to do best."""
-    if len(views) > WEIGHED_AT_MOST:
+    """Return the upstream with the lowest predicted cost that may run this work."""
+    if len(views) > MAX_EVALUATED:
         sample = list(_sample_views(work, views, random, avoid, index))
         usable = sample or [view for view in views if _can_run(work, view, avoid)]
     else:
@@ -52,31 +53,31 @@
             RETRY_AFTER,
         )
     start = random.randrange(len(usable))
-    best, least = usable[start], float("inf")
+    best, lowest = usable[start], float("inf")
     for position in range(len(usable)):
         view = usable[start - position]
-        cost = _weigh(work, view, now, availability_zone, index)
-        if cost < least:
-            best, least = view, cost
+        cost = _estimate_cost(work, view, now, availability_zone, index)
+        if cost < lowest:
+            best, lowest = view, cost
     return best
 
 
 def predict_first_token(
     work: Work, view: UpstreamView, now: timedelta, index: PrefixIndex | None = None
 ) -> float:
-    """Return the expected seconds to the first token at this upstream."""
+    """Return the predicted seconds to the first token at this upstream."""
     rate = view.prefill_rate / view.slowness
     cached = index.expected_tokens(view.name, work.prefix) if index else 0
     uncached = max(work.prompt_tokens - cached, 1)
     seconds = (discount_queue(view, now, not work.over_share) + uncached) / rate
     busy = max(view.running, view.own_running)
     if busy >= view.concurrency and work.over_share:
-        # Every slot is taken: the work waits until some streams end.
+        # All slots are in use: the work waits until some streams end.
         seconds += (busy - view.concurrency + 1) / view.concurrency
     return seconds
 
 
-def _weigh(
+def _estimate_cost(
     work: Work,
     view: UpstreamView,
     now: timedelta,
@@ -84,16 +85,16 @@
     index: PrefixIndex | None,
 ) -> float:
     cost = predict_first_token(work, view, now, index)
-    cost += _weigh_role(work, view)
+    cost += _estimate_role_cost(work, view)
     if availability_zone and view.availability_zone != availability_zone:
-        cost += ZONE_SECONDS
+        cost += ZONE_COST_SECONDS
     return cost
 
 
-def _weigh_role(work: Work, view: UpstreamView) -> float:
-    """Return seconds for an answer in a role that is not made for it."""
+def _estimate_role_cost(work: Work, view: UpstreamView) -> float:
+    """Return a cost in seconds for running the work in the upstream's role."""
     if work.output_tokens > SHORT_ANSWER and _is_too_slow(work, view):
-        return UNFIT_SECONDS
+        return UNFIT_COST_SECONDS
     busy = max(view.running, view.own_running) / view.concurrency
     if view.role is not Role.PREFILL and work.output_tokens <= SHORT_ANSWER:
         weight = 1.0 if view.role is Role.DECODE else 0.0
@@ -102,11 +103,11 @@
 
 
 def _is_too_slow(work: Work, view: UpstreamView) -> bool:
-    """Tell whether a stream's tokens would come too far apart at this upstream.
+    """Return whether the time between a stream's tokens would be too long.
 
-    Prefill engines give a stream a token only between whole prompts. The reported
-    decode rate is that without prompts beside it, so that an engine known to be slow
-    is doubted once more.
+    Prefill engines generate tokens of a stream only between whole prompts. The reported
+    decode rate excludes concurrent prefill, so the observed slowness of the engine is
+    applied to it as well.
     """
     gap = view.slowness / max(view.decode_rate, 0.1)
     return view.role is Role.PREFILL or gap >= work.between_tokens.total_seconds()
@@ -119,21 +120,21 @@
     avoid: Collection[str],
     index: PrefixIndex | None,
 ) -> Iterable[UpstreamView]:
-    wanted = set(index.holders(work.prefix)) if index and work.prefix else set()
+    holders = set(index.holders(work.prefix)) if index and work.prefix else set()
     seen: set[str] = set()
     chosen = 0
     if work.prefix:
-        for view in _rank_by_prefix(work, views):
+        for view in _choose_by_prefix(work, views):
             seen.add(view.name)
             if _can_run(work, view, avoid):
                 yield view
-    if wanted:
+    if holders:
         for view in views:
-            if view.name in wanted and view.name not in seen:
+            if view.name in holders and view.name not in seen:
                 seen.add(view.name)
                 if _can_run(work, view, avoid):
                     yield view
-    for _ in range(RANDOM_TRIES):
+    for _ in range(MAX_RANDOM_DRAWS):
         view = views[random.randrange(len(views))]
         if view.name not in seen and _can_run(work, view, avoid):
             seen.add(view.name)
@@ -143,8 +144,8 @@
             return
 
 
-def _rank_by_prefix(work: Work, views: Sequence[UpstreamView]) -> list[UpstreamView]:
-    """Return the rendezvous choice of the prompt's first piece."""
+def _choose_by_prefix(work: Work, views: Sequence[UpstreamView]) -> list[UpstreamView]:
+    """Return the rendezvous choice for the prompt's first piece."""
     piece = work.prefix[0] & 0xFFFF_FFFF_FFFF_FFFF
     return [
         max(views, key=lambda view: xxh64_intdigest(view.name.encode(), seed=piece))
--- a/packages/mustardquay/tests/test_stop_fleets.py
+++ b/packages/mustardquay/tests/test_stop_fleets.py
@@ -118,11 +118,11 @@
         if gateway.times is None:
             return StopState.SERVING
         members = gateway.fleet.list_members(now)
-        place = StopContext(
+        context = StopContext(
             is_needed(ZONES[name], members),
             is_next_to_end(name, members),
         )
-        return find_state(gateway.times, now, len(gateway.running), place)
+        return find_state(gateway.times, now, len(gateway.running), context)
 
     @invariant()
     def each_stop_ends(self):
--- a/packages/mustardquay/tests/test_stops.py
+++ b/packages/mustardquay/tests/test_stops.py
@@ -17,7 +17,7 @@
 TIMES = StopTimes(10 * SECOND, 17 * SECOND)
 MOMENTS = st.integers(9_000, 18_000).map(lambda ms: timedelta(milliseconds=ms))
 LENGTHS = st.integers(0, 20_000).map(lambda ms: timedelta(milliseconds=ms))
-DEMANDS = st.builds(
+ESTIMATES = st.builds(
     RequestEstimate,
     LENGTHS,
     st.none() | st.builds(LongestTimes, LENGTHS, LENGTHS),
@@ -32,15 +32,15 @@
     assert find_state(None, 3 * SECOND, 0) is StopState.SERVING
 
 
-@given(now=MOMENTS, demand=DEMANDS, in_flight=st.integers(0, 3))
-def test_what_is_taken_ends_in_time_or_can_be_told_so(now, demand, in_flight):
+@given(now=MOMENTS, estimate=ESTIMATES, in_flight=st.integers(0, 3))
+def test_what_is_taken_ends_in_time_or_can_be_told_so(now, estimate, in_flight):
     state = find_state(TIMES, now, in_flight)
-    begin_by = admit_request(state, TIMES, now, demand)
+    begin_by = admit_request(state, TIMES, now, estimate)
     if begin_by is None:
         return
     assert now <= begin_by <= TIMES.answer_by
-    ends_by_itself = now + demand.time_allowed <= TIMES.answer_by
-    assert ends_by_itself or not demand.is_stream or demand.is_resumable
+    ends_by_itself = now + estimate.time_allowed <= TIMES.answer_by
+    assert ends_by_itself or not estimate.is_stream or estimate.is_resumable
 
 
 @given(now=MOMENTS)
@@ -61,10 +61,10 @@
 
 
 def test_a_plain_request_is_taken_by_what_its_route_has_taken():
-    demand = RequestEstimate(15 * SECOND, LongestTimes(SECOND, 0 * SECOND))
-    begin_by = admit_request(LEAVING, TIMES, 15 * SECOND, demand)
+    estimate = RequestEstimate(15 * SECOND, LongestTimes(SECOND, 0 * SECOND))
+    begin_by = admit_request(LEAVING, TIMES, 15 * SECOND, estimate)
     assert begin_by == TIMES.answer_by
-    assert not admit_request(LEAVING, TIMES, 16 * SECOND, demand)
+    assert not admit_request(LEAVING, TIMES, 16 * SECOND, estimate)
 
 
 def test_only_at_first_a_stream_is_taken_by_its_events():
@@ -73,10 +73,10 @@
     It was held to end in time by its events, of which each took longer than before.
     """
     longest = LongestTimes(SECOND, SECOND / 20)
-    demand = RequestEstimate(
+    estimate = RequestEstimate(
         15 * SECOND, longest, 40, is_stream=True, is_resumable=True
     )
-    assert admit_request(LEAVING, TIMES, 11 * SECOND, demand)
-    assert not admit_request(LEAVING, TIMES, 13 * SECOND, demand)
+    assert admit_request(LEAVING, TIMES, 11 * SECOND, estimate)
+    assert not admit_request(LEAVING, TIMES, 13 * SECOND, estimate)
     unresumable = RequestEstimate(15 * SECOND, longest, 40, is_stream=True)
     assert not admit_request(LEAVING, TIMES, 11 * SECOND, unresumable)
