--- a/packages/mustardquay/src/mustardquay/upstream_selection.py
+++ b/packages/mustardquay/src/mustardquay/upstream_selection.py
@@ -120,7 +120,7 @@
     avoid: Collection[str],
     index: PrefixIndex | None,
 ) -> Iterable[UpstreamView]:
-    holders = set(index.holders(work.prefix)) if index and work.prefix else set()
+    cached_on = set(index.holders(work.prefix)) if index and work.prefix else set()
     seen: set[str] = set()
     chosen = 0
     if work.prefix:
@@ -128,9 +128,9 @@
             seen.add(view.name)
             if _can_run(work, view, avoid):
                 yield view
-    if holders:
+    if cached_on:
         for view in views:
-            if view.name in holders and view.name not in seen:
+            if view.name in cached_on and view.name not in seen:
                 seen.add(view.name)
                 if _can_run(work, view, avoid):
                     yield view
--- a/packages/mustardquay/tests/test_attempts.py
+++ b/packages/mustardquay/tests/test_attempts.py
@@ -1,4 +1,4 @@
-"""Stateful tests of a request's attempts: every interleaving of what can happen."""
+"""Stateful tests of a request's attempts, over arbitrary interleavings of events."""
 
 from datetime import timedelta
 
@@ -48,7 +48,7 @@
 
 
 class Agent:
-    """What one agent does with one attempt; its frames are kept for a new link."""
+    """An agent that runs one attempt; its frames are kept for reattaching."""
 
     def __init__(self, number, script):
         self.number = number
@@ -66,7 +66,7 @@
 
 
 def make_script(skip, end, status):
-    """Return what makes the frames of an attempt whose first tokens are known."""
+    """Return the frame factories of an attempt that skips the first `skip` tokens."""
     parts = [lambda s, i: Started(s, i), lambda s, i: Head(s, i, status, ())]
     texts = TOKENS[skip:] if status == 200 else [ERROR]
     for text in texts:
@@ -78,7 +78,7 @@
 
 
 class Attempts(RuleBasedStateMachine):
-    """One caller, its entry's state machine, and agents behind bad links."""
+    """One caller, the state machine at its entry, and agents over unreliable links."""
 
     @initialize(
         kind=st.sampled_from(["booking", "enquiry", "stream", "stream"]),
@@ -115,7 +115,7 @@
     def _act(self, action):
         match action:
             case SendAttempt():
-                assert not self.early, "sent although the caller has its answer"
+                assert not self.early, "sent after the caller was answered"
                 self._check_that_it_may_be_sent()
                 skip = self.state.tokens_delivered if action.resume else 0
                 self.on_the_way[action.number] = skip
@@ -126,7 +126,7 @@
             case DeliverData():
                 self.body += action.data
                 if self.heads[-1:] == [200]:
-                    assert WHOLE.startswith(self.body), "tokens twice or foreign"
+                    assert WHOLE.startswith(self.body), "duplicate or wrong tokens"
             case AnswerEarly():
                 assert not self.repeatable
                 self.early = True
@@ -138,18 +138,18 @@
 
     def _check_that_it_may_be_sent(self):
         if not self.repeatable:
-            assert not self.starts, "sent again although it was started"
+            assert not self.starts, "sent again after it was started"
 
     def _check_outcome(self, finish):
         if finish.outcome is Outcome.NOT_RUN:
-            assert not self.starts, "not run, yet it was started"
+            assert not self.starts, "reported as not run, but it was started"
             assert not self.body
         if finish.outcome is Outcome.ANSWERED:
             expected = WHOLE if self.heads[-1] == 200 else ERROR
-            assert self.body == expected, "not its own whole answer"
+            assert self.body == expected, "not the complete answer"
         if self.streamed and 200 in self.heads:
             assert self.heads.count(200) == 1
-            assert WHOLE.startswith(self.body), "tokens twice or foreign"
+            assert WHOLE.startswith(self.body), "duplicate or wrong tokens"
 
     @precondition(lambda self: self.state.phase is Phase.CHOOSING)
     @rule(found=st.sampled_from([True, True, True, False]))
@@ -182,15 +182,15 @@
         started=st.sampled_from([0, 0, 0, 1]),
     )
     def agent_receives(self, data, end, status, refused, started):
-        """Also frames of attempts that the entry has long given up."""
+        """Deliver an attempt, possibly one that the entry has abandoned."""
         number = data.draw(st.sampled_from(sorted(self.on_the_way)))
         skip = self.on_the_way.pop(number)
         if number in self.tombstones:
             return
         script = make_script(skip, end, status)
         if refused is not None:
-            # An agent that refuses what it has started breaks its protocol; even so
-            # a booking must not be sent again.
+            # An agent that refuses an attempt after starting it violates the protocol;
+            # even then a booking must not be sent again.
             script = script[:started] + [lambda s, i: Refused(s, i, refused, "", None)]
         self.agents[number] = Agent(number, script)
 
@@ -218,7 +218,7 @@
     @precondition(lambda self: self.history)
     @rule(data=st.data())
     def frame_arrives(self, data):
-        """Any frame at any time: late, doubled, or before one that was lost."""
+        """Deliver any frame at any time: late, duplicate or after a gap."""
         frame = data.draw(st.sampled_from(self.history))
         self._do(self.state.frame_received(frame.stream, frame))
 
@@ -286,14 +286,14 @@
 
     @rule()
     def nothing_happens(self):
-        """A state from which all has been tried; the run may stay in it."""
+        """Do nothing; a rule without precondition, so that no state is a dead end."""
 
     def teardown(self):
         if not hasattr(self, "state"):
             return
         self._do(self.state.deadline_passed())
         assert self.finish is not None or self.early, "the caller has no answer"
-        # Work that must not be repeated goes on until its end is known.
+        # Non-idempotent work continues until its outcome is known.
         self._do(self.state.link_lost())
         self._do(self.state.reattach_failed())
         assert self.finish is not None, "the request has no outcome"
@@ -304,9 +304,9 @@
 
 
 def test_a_request_ends_once_and_truly_whatever_happens():
-    """One call behind bad links: a user would see a booking made twice, "not run"
-    for one that ran, another's or half an answer, or none at all. Frames come late,
-    twice or after a gap, links are lost, agents die and deadlines pass."""
+    """Guards against bookings made twice, "not run" for one that ran, and wrong,
+    truncated or missing answers, over unreliable links: frames arrive late, twice or
+    after a gap, links are lost, agents crash and deadlines pass."""
     run_state_machine_as_test(
         Attempts,
         settings=settings(
@@ -332,8 +332,8 @@
     ids=lambda frame: type(frame).__name__,
 )
 def test_late_frame_of_a_replaced_attempt_changes_nothing(late):
-    """An engine stalls and the request goes to another one. Then the first wakes and
-    its frames arrive: they must not be taken for those of the second."""
+    """Guards against mixing the frames of two attempts: an engine stalls, the request
+    is sent to another engine, and then late frames of the first attempt arrive."""
     state = RequestState(True, True, 4, lambda: True, lambda retry: timedelta(1))
     state.upstream_chosen("u1", 1)
     state.frame_received(1, Failed(1, 0, FailureKind.STALLED, ""))
@@ -353,8 +353,8 @@
 
 
 def test_frames_behind_a_gap_are_asked_for_again():
-    """A frame was lost with its link and the next one comes over the new: passed on,
-    it would leave a hole in the answer that nobody sees."""
+    """Guards against an undetected gap in the answer: a frame was lost with its link
+    and the next one arrives over the new link."""
     state = make_state()
     state.frame_received(1, Started(1, 0))
     assert state.frame_received(1, Chunk(1, 2, 1, b"b")) == [
@@ -363,8 +363,8 @@
 
 
 def test_error_of_the_engine_that_resumes_is_not_spliced_into_the_stream():
-    """A stream is cut and goes on at another engine, which answers 503: the text of
-    that error would stand in the middle of the caller's answer."""
+    """Guards against an error message within the caller's answer: an interrupted
+    stream is resumed at another engine, which responds with 503."""
     state = make_state()
     for frame in (Started(1, 0), Head(1, 1, 200, ()), Chunk(1, 2, 1, b"a")):
         state.frame_received(1, frame)
@@ -378,8 +378,8 @@
 
 
 def test_booking_is_not_begun_after_its_caller_has_heard_unknown():
-    """At its deadline the caller hears "unknown". Then the agent says that the
-    booking never came to it: begun elsewhere now, it would surprise everyone."""
+    """Guards against a booking made after its caller was answered: at the deadline the
+    caller gets "unknown", and then the agent confirms that it never received it."""
     state = make_state(repeatable=False, streamed=False)
     assert isinstance(state.deadline_passed()[0], AnswerEarly)
     refused = Refused(1, 0, Reason.TOMBSTONE, "", None)
--- a/packages/mustardquay/tests/test_claims.py
+++ b/packages/mustardquay/tests/test_claims.py
@@ -1,4 +1,4 @@
-"""Claim rows judged one by one, where the stateful tests can't reach."""
+"""Cases of single claim rows that the stateful tests don't cover."""
 
 from dataclasses import replace
 from datetime import UTC, datetime, timedelta
@@ -71,14 +71,18 @@
 @pytest.mark.parametrize("state", [ClaimState.ANSWERED, ClaimState.NOT_RUN])
 @pytest.mark.parametrize("wanted", list(ClaimState))
 def test_an_answered_or_released_claim_is_final(state, wanted):
-    """A booking was answered, then a late release frees its key and it runs again."""
+    """Guards against a second booking: a late release would free the key of an answered
+    one.
+    """
     row = make_row(make_claim(state=state, revision=2))
     assert rebase_final_write(make_claim(state=wanted), row) is None
 
 
 @pytest.mark.parametrize("skew", [-CLOCK_SKEW / 2, CLOCK_SKEW / 2])
 def test_an_entry_whose_clock_is_ahead_does_not_take_over_early(skew):
-    """A caller is promised a day, an entry with a fast clock ends it sooner."""
+    """Guards against a shortened lifetime of a key: a claim is kept for a day, and an
+    entry whose clock is ahead must not treat it as expired sooner.
+    """
     held = make_claim(state=ClaimState.ANSWERED, answer=RecordedAnswer(200))
     wanted = make_claim(id="other", revision=0)
     judged = resolve_claim(wanted, make_row(held), held.expires + skew)
@@ -95,7 +99,7 @@
 
 
 def test_writes_that_an_absent_row_may_have_failed_are_tried_alone():
-    """One of three rows was swept; which one, the conflict does not say."""
+    """One of three rows was deleted, and the conflict doesn't contain its key."""
     writes = [
         ClaimWrite(make_claim("new", revision=0)),
         ClaimWrite(make_claim("met")),
--- a/packages/mustardquay/tests/test_crash_watches.py
+++ b/packages/mustardquay/tests/test_crash_watches.py
@@ -7,9 +7,9 @@
 
 
 def test_a_broken_connection_alone_accuses_nobody():
-    """A saved route can't be checked for minutes though nothing is wrong with it.
+    """Guards against quarantining a harmless request for minutes.
 
-    Its answers were lost three times in a row while its upstreams lived.
+    Its answers were lost three times in a row while its upstreams were alive.
     """
     watch = CrashWatch()
     watch.note_broken("u1", "b1", 5, NOW)
--- a/packages/mustardquay/tests/test_fair_queues.py
+++ b/packages/mustardquay/tests/test_fair_queues.py
@@ -1,4 +1,4 @@
-"""Invariants of the fair queue and of the usage behind it."""
+"""Invariants of the fair queue and of the usage meter that it uses."""
 
 from dataclasses import replace
 from datetime import timedelta
@@ -33,9 +33,9 @@
 
 
 def serve(queue, now, seconds):
-    """Serve one at a time, each followed by another of its customer.
+    """Serve work one at a time, offering new work of the same customer after each.
 
-    Returns the tokens of each customer and the time at the end.
+    Returns the tokens served per customer and the time at the end.
     """
     served = dict.fromkeys(SHARES, 0)
     end = now + seconds
@@ -77,7 +77,8 @@
         now += work.uncached_tokens / 1000.0
         queue.finish(work.key, 1, span(now))
     assert len(taken) == len(sizes) + 1
-    # Its cost in its share's time is ten times its own; the flood gets no more.
+    # At a share of 0.1 the work counts for ten times its own cost in virtual time; no
+    # more than that of the flood may be ahead of it.
     ahead = sizes[: taken.index("small")]
     assert sum(ahead) / 0.6 <= 500 / 0.1 + max(sizes) / 0.6 + 1e-6
 
@@ -148,10 +149,10 @@
 
 
 def test_a_customer_within_its_share_overtakes_a_flood():
-    """A host sees its short enquiry refused while another customer floods.
+    """Guards against a short request being refused while another customer floods.
 
-    The flooder fills the queue first, the host's request comes second; with turns by
-    arrival the flood's prompts would all go before it.
+    The flooding customer fills the queue first; in order of arrival all its prompts
+    would be served before the short request.
     """
     usage = UsageMeter("agent")
     usage.charge("large", 1000.0, span(0))
@@ -170,10 +171,11 @@
 
 
 def test_the_last_slots_are_kept_for_those_within_their_share():
-    """A tram's alert waits seconds for its first token while another floods.
+    """Guards against a customer waiting seconds for a slot while another floods.
 
-    The flood's long answers take every slot of the engine; a slot is free only when
-    one of them ends, although the tram's share was idle until now.
+    Long answers of the flooding customer would use all slots of the engine, so that a
+    slot becomes free only when one of them ends, although the other customer has been
+    idle.
     """
     queue = FairQueue(concurrency=16, prefill_rate=1e6, lookahead=span(100))
     for number in range(40):
@@ -186,9 +188,10 @@
 
 
 def test_first_tokens_that_come_late_raise_the_refusals():
-    """A driver's app gets answers that are accepted and then come too late.
+    """Guards against accepting work that is then answered too late.
 
-    The engine has grown slow; the queue goes on trusting the rate that it was told.
+    The engine has become slower than its reported rate, and the queue must not keep
+    relying on that rate.
     """
     queue = FairQueue(prefill_rate=10_000.0, lookahead=timedelta())
     now = 0.0
--- a/packages/mustardquay/tests/test_quarantines.py
+++ b/packages/mustardquay/tests/test_quarantines.py
@@ -1,4 +1,4 @@
-"""Stateful tests of quarantines over several processes, retries and tombstones."""
+"""Stateful tests of the quarantine in several processes; retries and tombstones."""
 
 from collections import Counter
 from datetime import timedelta
@@ -24,7 +24,7 @@
 
 
 class Fleet(RuleBasedStateMachine):
-    """Entries and agents that hear of crashes over links, at any later time."""
+    """Entries and agents that exchange crash records over links with any delay."""
 
     def __init__(self):
         super().__init__()
@@ -65,7 +65,7 @@
 
     @rule(upstream=st.sampled_from(UPSTREAMS))
     def engine_goes_on(self, upstream):
-        """Crash if the poison runs here, else answer all."""
+        """Crash if the crashing request runs here, else answer all requests."""
         running = self.running[upstream]
         if POISON in running.values():
             self.boots[upstream] += 1
@@ -110,7 +110,7 @@
         before = [POISON in running.values() for running in self.running.values()]
         if any(before):
             return
-        # Repeats through all entries at once, whichever upstream they would like.
+        # Retries through all entries at once, whichever upstream they would choose.
         for entry in ENTRIES:
             for upstream in UPSTREAMS:
                 self.call(entry, upstream, POISON)
@@ -130,7 +130,7 @@
                 assert self.in_flight_at_crashes[fingerprint] >= 2
 
     def teardown(self):
-        """In the end all learn it: the poison's second crash was its last."""
+        """Check that all records converge: refused after two crashes, then expired."""
         self.all_heartbeats_arrive()
         known = self.quarantines["e1"]
         counted = self.in_flight_at_crashes[POISON]
@@ -151,9 +151,9 @@
 
 
 def test_a_poisonous_request_is_held_to_one_upstream_and_then_refused():
-    """One request crashes each engine that runs it, and its caller sends it again
-    through every entry: engines would fail one after the other. What was in flight
-    with it is innocent, and must come through."""
+    """Guards against engines failing one after the other: a request crashes each engine
+    that runs it, and its caller retries it through every entry. Other requests that
+    were in flight at a crash must still be answered."""
     run_state_machine_as_test(
         Fleet, settings=settings(STEADY, max_examples=100, stateful_step_count=30)
     )
@@ -213,7 +213,7 @@
 )
 @STEADY
 def test_retries_stay_within_the_ratio_of_first_attempts(calls):
-    """All upstreams fail and every caller's work is retried as often as may be."""
+    """All upstreams fail and all work is retried as often as the budget allows."""
     budget = RetryBudget(ratio=0.1, capacity=3, refill_rate=0.1, entry_capacity=5)
     now, retries, first = timedelta(), 0, 0
     for customer, pause in calls:
@@ -239,8 +239,8 @@
 @given(gaps=st.lists(st.integers(0, 100_000), max_size=40))
 @STEADY
 def test_a_tombstone_outlives_every_pause_of_its_process(gaps):
-    """An agent affirms that an attempt never ran and is paused for hours; the
-    attempt's frame lies in its socket. When it wakes, it must not run it."""
+    """Guards against running an attempt that was confirmed as never started: the agent
+    is paused for hours while the frame of the attempt is in its socket buffer."""
     tombstones = Tombstones(retention=timedelta(seconds=60))
     now = timedelta()
     assert tombstones.add(("r", 1), now)
--- a/packages/mustardquay/tests/test_rate_limits.py
+++ b/packages/mustardquay/tests/test_rate_limits.py
@@ -18,7 +18,7 @@
 
 
 def test_an_answer_that_was_overtaken_does_not_end_a_limit():
-    """Guards against a limit that is lost as it is first named."""
+    """Guards against losing a limit when it is first announced."""
     book = RateLimiter()
     book.update("e", 10.0, at(0))
     assert book.update("e", None, at(0.1)) is None
@@ -26,7 +26,7 @@
 
 
 def test_a_limit_that_no_answer_names_again_lapses():
-    """Guards against an upstream that gets too little for ever."""
+    """Guards against a limit that slows down sends to an upstream forever."""
     book = RateLimiter()
     book.update("e", 10.0, at(0))
     assert book.get("e", at(9.9)) == 10.0
@@ -38,7 +38,7 @@
 
 
 def test_a_limit_is_measured_by_what_callers_ask():
-    """Guards against engines that are changed for a limit that nobody feels."""
+    """Guards against changing engines because of a limit that isn't reached."""
     book = RateLimiter()
     for number in range(200):
         book.demand.count_request("llm", at(number / 20))
@@ -52,7 +52,7 @@
 
 
 def test_a_turn_that_is_not_used_is_given_back():
-    """Guards against callers who left and whose places nobody gets."""
+    """Guards against losing the tokens of callers that disconnected."""
     book, engine = RateLimiter(), make_upstream("e1")
     book.update("e1", 2.0, at(0))
     first = book.reserve(engine, at(1))
@@ -65,7 +65,7 @@
 
 
 def test_a_limit_that_another_gateway_tells_holds_until_own_answers_name_none():
-    """Guards against a gateway that sends at full rate before it has been answered."""
+    """Guards against a gateway that exceeds a limit until its own first answer."""
     book, engine = RateLimiter(), make_upstream("e1")
     notice = LimitNotice("e1", 2.0, at(0.5))
     book.apply_notice(notice, at(10))
--- a/packages/mustardquay/tests/test_rate_shares.py
+++ b/packages/mustardquay/tests/test_rate_shares.py
@@ -1,4 +1,4 @@
-"""Fleets of gateways that divide one limit, in steps of virtual time."""
+"""Simulations of gateways that share one rate limit, in steps of virtual time."""
 
 from bisect import bisect_left
 from datetime import timedelta
@@ -13,27 +13,27 @@
 STEP = 0.01
 """Seconds."""
 WINDOW = 4.0
-"""Seconds over which what the engine gets is counted."""
+"""Seconds over which the requests to the engine are counted."""
 SETTLED = 3.0
-"""Seconds after the first answer with a limit, from which on it has to be kept."""
+"""Seconds after the first answer with a limit, from which on it must be kept."""
 LONGEST_TURN = 0.15
-"""Seconds for which a request waits for its turn."""
+"""Maximum seconds that a request waits for its reservation."""
 ANSWERED = 0.02
-"""Seconds until an answer names the limit again."""
+"""Seconds from a send to its answer, which announces the limit again."""
 LOST = 0.03
-"""Part of the digests that are lost."""
+"""Fraction of the digests that are lost."""
 TOLD_SIDE = 8
-"""Gateways that each tells on both sides of it."""
+"""Number of gateways on each side of a gateway to which it sends digests."""
 
 
 class Fleet:
-    """Gateways around one engine that names a limit."""
+    """Gateways that send to one engine with a rate limit."""
 
     def __init__(self, size, limit, loads, living=None, cut_off=()):
-        """Take `loads`, the requests a second of a gateway at a time.
+        """Set up gateways with `loads(gateway, now)` requests per second each.
 
-        `living` tells which gateways run at a time, `cut_off` names those that hear of
-        no other and are heard by none.
+        `living(gateway, now)` returns whether a gateway is running; gateways in
+        `cut_off` neither send nor receive digests.
         """
         self.size, self.limit, self.loads = size, limit, loads
         self.living = living or (lambda gateway, now: True)
@@ -109,7 +109,7 @@
 
     @property
     def most(self):
-        """The most requests in one window."""
+        """The maximum number of requests in one window."""
         times = sorted(at for at in self.sent if at >= SETTLED)
         return max(
             bisect_left(times, at + WINDOW) - index for index, at in enumerate(times)
@@ -117,7 +117,7 @@
 
     @property
     def used(self):
-        """The part of the limit that was used, once it was settled."""
+        """The fraction of the limit that was used after it had settled."""
         times = [at for at in self.sent if SETTLED + WINDOW <= at < 16.0]
         return len(times) / (16.0 - SETTLED - WINDOW) / self.limit
 
@@ -128,13 +128,13 @@
 
 LIMITS = [1.0, 4.0, 10.0, 40.0]
 ASKED = 6
-"""Times the limit that callers ask for."""
+"""Request rate of all callers, as a multiple of the limit."""
 
 
 @pytest.mark.parametrize("limit", LIMITS)
 @pytest.mark.parametrize("size", [3, 30])
 def test_gateways_with_the_same_load_keep_the_limit(size, limit):
-    """Guards against gateways that each keep the whole limit."""
+    """Guards against gateways that each use the whole limit."""
     fleet = Fleet(size, limit, lambda gateway, now: ASKED * limit / size).run()
     assert fleet.most <= allow(limit)
 
@@ -142,14 +142,14 @@
 @pytest.mark.parametrize("limit", [10.0, 40.0])
 @pytest.mark.parametrize("size", [3, 30])
 def test_gateways_with_the_same_load_use_most_of_the_limit(size, limit):
-    """Guards against callers who are refused although the engine has room."""
+    """Guards against refusing callers although the engine has capacity."""
     fleet = Fleet(size, limit, lambda gateway, now: ASKED * limit / size).run()
     assert fleet.used >= 0.75
 
 
 @pytest.mark.parametrize("limit", LIMITS)
 def test_one_of_three_gateways_with_all_callers_uses_most_of_the_limit(limit):
-    """Guards against a limit of which two thirds lie unused."""
+    """Guards against leaving two thirds of the limit unused."""
     load = ASKED * limit
     fleet = Fleet(3, limit, lambda gateway, now: load if not gateway else 0).run()
     assert fleet.most <= allow(limit)
@@ -159,7 +159,7 @@
 @pytest.mark.parametrize("limit", LIMITS)
 @pytest.mark.parametrize("apart", [3, 10, 15])
 def test_a_few_of_thirty_gateways_with_all_callers_keep_the_limit(apart, limit):
-    """Guards against busy gateways that don't hear of each other."""
+    """Guards against busy gateways that receive no digests from each other."""
     load = ASKED * limit * apart / 30
     fleet = Fleet(30, limit, lambda gateway, now: 0 if gateway % apart else load).run()
     assert fleet.most <= allow(limit)
@@ -167,7 +167,7 @@
 
 @pytest.mark.parametrize("size", [3, 30])
 def test_callers_who_move_from_gateway_to_gateway_keep_the_limit(size):
-    """Guards against parts that two gateways both believe to have."""
+    """Guards against a share that two gateways use at the same time."""
     fleet = Fleet(
         size, 10.0, lambda gateway, now: 60.0 * (int(now / 2) % size == gateway)
     ).run()
@@ -176,7 +176,7 @@
 
 @pytest.mark.parametrize("size", [3, 30])
 def test_gateways_that_start_keep_the_limit(size):
-    """Guards against a gateway that takes the whole limit before it hears of others."""
+    """Guards against a gateway that uses the whole limit before the first digests."""
 
     def is_living(gateway, now):
         return gateway < size / 2 or now > 6.0
@@ -187,13 +187,13 @@
 
 @pytest.mark.parametrize("size", [3, 30])
 def test_a_gateway_that_is_cut_off_from_the_others_keeps_its_part(size):
-    """Guards against two sides of a partition that both use the whole limit."""
+    """Guards against both sides of a network partition using the whole limit."""
     fleet = Fleet(size, 10.0, lambda gateway, now: 60.0 / size, cut_off=[0]).run()
     assert fleet.most <= allow(10.0)
 
 
 def test_what_a_gateway_leaves_goes_to_the_others_after_a_while():
-    """Guards against a part that nobody uses any more."""
+    """Guards against a share that stays reserved for a removed gateway."""
 
     def is_living(gateway, now):
         return gateway or now < 1.0
--- a/packages/mustardquay/tests/test_retry_decisions.py
+++ b/packages/mustardquay/tests/test_retry_decisions.py
@@ -24,10 +24,10 @@
 @pytest.mark.parametrize("end", [SendEnd.BROKEN, SendEnd.CALLER_LEFT])
 @pytest.mark.parametrize("route", [ONCE, STREAM])
 def test_what_may_have_run_and_must_not_be_repeated_fails(route, end):
-    """An alert goes out twice.
+    """Guards against an alert that is sent twice.
 
-    Its upstream runs it, the connection breaks before the answer, and the gateway
-    sends it to the next upstream.
+    Its upstream runs it, the connection breaks before the answer, and the gateway must
+    not send it to another upstream.
     """
     assert decide(route, end) is NextStep.FAIL
 
@@ -39,10 +39,10 @@
 
 
 def test_a_refusal_after_a_send_that_may_have_run_is_no_refusal():
-    """A booking is made again by its caller although it was made.
+    """Guards against a caller repeating a booking that was already made.
 
-    The first upstream broke off, the second one is full. To say "not run" because
-    the last send was not run would be false.
+    The connection to the first upstream broke and the second upstream is full. "Not
+    run" would be wrong although it is true of the last send.
     """
     route = replace(AGAIN, max_attempts=2)
     step = decide(route, SendEnd.NOT_RUN, before=[SendEnd.BROKEN])
--- a/packages/mustardquay/tests/test_retry_windows.py
+++ b/packages/mustardquay/tests/test_retry_windows.py
@@ -7,10 +7,10 @@
 
 
 def test_all_processes_together_keep_the_bound_when_everything_fails():
-    """The upstreams that remain fail under repeats.
+    """Guards against remaining upstreams failing under repeated sends.
 
-    One upstream is lost, each gateway sends its work again, and no gateway sees what
-    the others do. Every window of time has to stay within the bound for them all.
+    One upstream is lost, and each gateway sends its work again without information
+    about the others. All together must stay within the limit in every window of time.
     """
     windows = [RetryWindow(LIMITS, PROCESSES) for _ in range(PROCESSES)]
     repeats = []
@@ -40,10 +40,10 @@
 
 
 def test_a_try_that_takes_two_sends_is_paid_for_two():
-    """The platform counts more repeats than the gateways do.
+    """Guards against counting fewer repeated sends than the platform does.
 
-    A generation that is tried again is sent to an engine that reads and then to one
-    that generates, and both are repeats.
+    A generation that is retried is sent to one engine for prefill and then to another
+    for generation, and both count as repeats.
     """
     window = RetryWindow(LIMITS, PROCESSES)
     taken = [window.take(timedelta(), sends=2) for _ in range(20)]
--- a/packages/mustardquay/tests/test_route_times.py
+++ b/packages/mustardquay/tests/test_route_times.py
@@ -1,4 +1,4 @@
-"""The longest that requests of a route have lately taken."""
+"""The longest recent times of the requests of a route."""
 
 from datetime import timedelta
 
@@ -48,7 +48,9 @@
 
 
 def test_requests_that_still_wait_count_by_their_age():
-    """Guards against a stop that takes more than it can end, by quick answers alone."""
+    """Guards against a stopping gateway that relies on fast answers only and accepts
+    requests that it can't complete.
+    """
     times = RouteTimes()
     note_many(times, SECOND / 10)
     waiting = times.begin("r", SECOND)
@@ -61,7 +63,7 @@
 
 
 def test_a_slow_answer_in_sixteen_is_not_promised_away_by_fifteen_quick_ones():
-    """Guards against a request taken late in a stop on the word of a few answers."""
+    """Guards against accepting a request late in a stop because of too few samples."""
     times = RouteTimes()
     for number in range(15):
         times.note("r", SECOND, SECOND / 1000 * (10 + 20 * number))
--- a/packages/mustardquay/tests/test_stop_bounds.py
+++ b/packages/mustardquay/tests/test_stop_bounds.py
@@ -1,4 +1,4 @@
-"""Where what a stop relies on does not hold."""
+"""Graceful stops in cases where their assumptions about other gateways fail."""
 
 from datetime import timedelta
 
@@ -22,10 +22,10 @@
 
 
 def test_two_gateways_that_end_together_do_not_both_end_early():
-    """Two gateways leave at once though one at a time should.
+    """Guards against two gateways that exit early at the same time.
 
-    Their ends are a few milliseconds apart, and a digest takes some milliseconds, so
-    that each sees its own end before the other's.
+    Their stops end a few milliseconds apart, and a digest takes a few milliseconds, so
+    that by the times alone each gateway would be the first to end.
     """
     ends = {"g1": 7201 * MILLISECOND, "g2": 7199 * MILLISECOND}
     now, way = 3 * SECOND, 2 * MILLISECOND
@@ -43,10 +43,10 @@
 
 
 def test_a_gateway_that_stays_away_draws_nobody_back_at_once():
-    """Refused callers come back at once, again and again, to nobody.
+    """Guards against refused callers that retry repeatedly without any delay.
 
-    A gateway that has been silent for longer than it usually takes to come back is
-    expected in the past.
+    A gateway was silent for longer than a restart usually takes, so that its expected
+    return is in the past.
     """
     book = FleetBook()
     hear(book, "g2", timedelta())
@@ -57,10 +57,10 @@
 
 
 def test_a_longer_generation_is_not_held_for_a_short_one():
-    """A stop takes a generation that then lasts longer than was foretold.
+    """Guards against accepting a generation that takes longer than estimated.
 
-    The number of tokens that a request names is the most that may come. Those before
-    it ended after a tenth of theirs: 20 events of the 200 that it may have.
+    The number of tokens in a request is an upper bound. Earlier requests ended after a
+    tenth of theirs: 20 events, where this one may have 200.
     """
     times = RouteTimes()
     token = timedelta(milliseconds=20)
@@ -71,11 +71,11 @@
 
 
 def test_a_gateway_that_has_just_become_ready_does_not_yet_relieve_others():
-    """Callers are refused, or find nobody, for up to a second.
+    """Guards against callers being refused, or finding no gateway, for up to a second.
 
-    The balancer asks each second whether a gateway is ready. Until it has asked a
-    successor, it goes on sending callers to all gateways of the zone, also to one
-    that stops and takes nothing more since it has heard of the successor.
+    The load balancer probes each second whether a gateway is ready. Until it has probed
+    a new gateway, it routes callers to all gateways of the zone, including one that is
+    stopping and would accept nothing more because of the new gateway's digest.
     """
     book = FleetBook()
     hear(book, "g2", SECOND, is_ready=False)
@@ -86,10 +86,10 @@
 
 
 def test_the_first_of_a_zone_of_a_large_fleet_knows_that_it_is_needed():
-    """A gateway refuses all while the balancer sends it callers.
+    """Guards against a gateway that refuses all callers while they are routed to it.
 
-    Of 40 gateways each tells the 16 that follow it by name, so that the first one of a
-    zone hears nobody of its own zone; 8 of the 13 there stop.
+    Each of 40 gateways sends digests to the 16 that follow it by name, so that the
+    first one of a zone gets none from its own zone; 8 of the 13 there are stopping.
     """
     from mustardquay_node.peers import list_told
 
--- a/packages/mustardquay/tests/test_stop_fleets.py
+++ b/packages/mustardquay/tests/test_stop_fleets.py
@@ -1,4 +1,4 @@
-"""A fleet of gateways that are stopped in any order, on a virtual clock."""
+"""Stateful test of gateways that are stopped in any order, on a virtual clock."""
 
 from dataclasses import dataclass, field
 from datetime import timedelta
@@ -27,7 +27,7 @@
 
 @dataclass
 class Gateway:
-    """One gateway: what it knows, and when its requests end at the latest."""
+    """One gateway: its view of the fleet, and when its running requests end."""
 
     fleet: FleetBook = field(default_factory=FleetBook)
     times: StopTimes | None = None
@@ -105,7 +105,7 @@
             self.gateways[name] = Gateway()
         elif gateway.times is not None and self.has_closed(name):
             before_stop = [e for e in gateway.running if e >= gateway.times.ends_at]
-            assert gateway.running == before_stop, "What was taken late is cut off."
+            assert gateway.running == before_stop, "a late request was cut off"
             gateway.back_at = now + RESTART
             gateway.times = None
             gateway.running.clear()
--- a/packages/mustardquay/tests/test_stops.py
+++ b/packages/mustardquay/tests/test_stops.py
@@ -1,4 +1,4 @@
-"""What a gateway takes while it stops, and when it ends."""
+"""Which requests a stopping gateway accepts, and when it exits."""
 
 from datetime import timedelta
 
@@ -68,9 +68,10 @@
 
 
 def test_only_at_first_a_stream_is_taken_by_its_events():
-    """A draft that came late in a stop is broken off in its middle.
+    """Guards against truncating a stream that was accepted late in a stop.
 
-    It was held to end in time by its events, of which each took longer than before.
+    By its number of events it was expected to end in time, but each event took longer
+    than before.
     """
     longest = LongestTimes(SECOND, SECOND / 20)
     estimate = RequestEstimate(
--- a/packages/mustardquay/tests/test_version_trackers.py
+++ b/packages/mustardquay/tests/test_version_trackers.py
@@ -10,7 +10,7 @@
 
 
 def test_the_lag_counts_from_the_oldest_version_that_is_missing():
-    """A process that is always one version late would else count as up to date."""
+    """Guards against a process that is always one version late counting as current."""
     book = VersionTracker()
     book.set_in_force(4)
     assert book.note_version(5, at(1))
@@ -42,7 +42,7 @@
     ],
 )
 def test_a_table_is_outdated_once_most_others_have_a_newer_one(others, seconds, state):
-    """Guards against callers that are all turned to the one gateway that is ahead."""
+    """Guards against routing all callers to the one gateway with a newer version."""
     book = VersionTracker()
     book.set_in_force(4)
     book.note_version(5, at(10))
