--- a/packages/mustardquay/tests/test_attempts.py
+++ b/packages/mustardquay/tests/test_attempts.py
@@ -91,7 +91,7 @@
         self.state = RequestState(
             self.repeatable, self.streamed, 4, self._spend, lambda retry: timedelta(1)
         )
-        self.on_the_way = {}
+        self.in_transit = {}
         self.agents = {}
         self.tombstones = set()
         self.history = []
@@ -118,7 +118,7 @@
                 assert not self.early, "sent after the caller was answered"
                 self._check_that_it_may_be_sent()
                 skip = self.state.tokens_delivered if action.resume else 0
-                self.on_the_way[action.number] = skip
+                self.in_transit[action.number] = skip
             case DeliverHead():
                 self.heads.append(action.status)
                 if not self.streamed or action.status != 200:
@@ -166,14 +166,14 @@
     def sending_fails(self, fails):
         if not fails:
             return
-        del self.on_the_way[self.state.number]
+        del self.in_transit[self.state.number]
         self._do(self.state.send_failed())
 
     def _is_sent_only(self):
         number = self.state.number
-        return self.state.phase is Phase.SENT and number in self.on_the_way
+        return self.state.phase is Phase.SENT and number in self.in_transit
 
-    @precondition(lambda self: self.on_the_way)
+    @precondition(lambda self: self.in_transit)
     @rule(
         data=st.data(),
         end=st.sampled_from(["done", 1, 2, 4, 4]),
@@ -183,8 +183,8 @@
     )
     def agent_receives(self, data, end, status, refused, started):
         """Deliver an attempt, possibly one that the entry has abandoned."""
-        number = data.draw(st.sampled_from(sorted(self.on_the_way)))
-        skip = self.on_the_way.pop(number)
+        number = data.draw(st.sampled_from(sorted(self.in_transit)))
+        skip = self.in_transit.pop(number)
         if number in self.tombstones:
             return
         script = make_script(skip, end, status)
@@ -241,7 +241,7 @@
     @rule(lost=st.booleans())
     def link_is_lost(self, lost):
         if lost:
-            self.on_the_way.pop(self.state.number, None)
+            self.in_transit.pop(self.state.number, None)
         self._do(self.state.link_lost())
 
     @precondition(lambda self: self.state.phase is Phase.REATTACHING)
@@ -261,7 +261,7 @@
     @rule()
     def agent_is_gone(self):
         self.agents.pop(self.state.number, None)
-        self.on_the_way.pop(self.state.number, None)
+        self.in_transit.pop(self.state.number, None)
         self._do(self.state.reattach_failed())
 
     @precondition(lambda self: self.state.phase is Phase.BACKING_OFF)
@@ -298,12 +298,12 @@
         self._do(self.state.reattach_failed())
         assert self.finish is not None, "the request has no outcome"
         assert self.state.phase is Phase.ENDED
-        for number in sorted(self.on_the_way):
+        for number in sorted(self.in_transit):
             if number not in self.tombstones:
                 assert self.finish.outcome is not Outcome.NOT_RUN
 
 
-def test_a_request_ends_once_and_truly_whatever_happens():
+def test_a_request_ends_once_with_the_correct_outcome():
     """Guards against bookings made twice, "not run" for one that ran, and wrong,
     truncated or missing answers, over unreliable links: frames arrive late, twice or
     after a gap, links are lost, agents crash and deadlines pass."""
@@ -352,7 +352,7 @@
     return state
 
 
-def test_frames_behind_a_gap_are_asked_for_again():
+def test_frames_after_a_gap_are_requested_again():
     """Guards against an undetected gap in the answer: a frame was lost with its link
     and the next one arrives over the new link."""
     state = make_state()
@@ -377,7 +377,7 @@
     assert state.frame_received(2, Chunk(2, 2, 1, ERROR)) == []
 
 
-def test_booking_is_not_begun_after_its_caller_has_heard_unknown():
+def test_booking_is_not_started_after_its_caller_was_told_unknown():
     """Guards against a booking made after its caller was answered: at the deadline the
     caller gets "unknown", and then the agent confirms that it never received it."""
     state = make_state(repeatable=False, streamed=False)
--- a/packages/mustardquay/tests/test_claims.py
+++ b/packages/mustardquay/tests/test_claims.py
@@ -85,8 +85,8 @@
     """
     held = make_claim(state=ClaimState.ANSWERED, answer=RecordedAnswer(200))
     wanted = make_claim(id="other", revision=0)
-    judged = resolve_claim(wanted, make_row(held), held.expires + skew)
-    assert judged.decision is ClaimDecision.REPLAY
+    result = resolve_claim(wanted, make_row(held), held.expires + skew)
+    assert result.decision is ClaimDecision.REPLAY
     later = resolve_claim(wanted, make_row(held), held.expires + CLOCK_SKEW)
     assert later == replace(wanted, revision=held.revision)
 
@@ -94,8 +94,8 @@
 def test_a_claim_whose_holder_died_is_unknown_at_once_after_its_deadline():
     held = make_claim()
     wanted = make_claim(id="other", revision=0)
-    judged = resolve_claim(wanted, make_row(held), held.finish_by + CLOCK_SKEW)
-    assert judged.decision is ClaimDecision.UNKNOWN
+    result = resolve_claim(wanted, make_row(held), held.finish_by + CLOCK_SKEW)
+    assert result.decision is ClaimDecision.UNKNOWN
 
 
 def test_writes_that_an_absent_row_may_have_failed_are_tried_alone():
@@ -107,10 +107,10 @@
         ClaimWrite(make_claim("fine")),
     ]
     row = make_row(make_claim("met", revision=2))
-    met, doubtful, others = split_conflict(writes, [row, None])
-    assert met == [(writes[1], row)]
-    assert doubtful == writes[2:]
-    assert others == writes[:1]
+    existing, ambiguous, retried = split_conflict(writes, [row, None])
+    assert existing == [(writes[1], row)]
+    assert ambiguous == writes[2:]
+    assert retried == writes[:1]
 
 
 def test_only_rows_that_every_entry_takes_for_expired_are_deleted():
--- a/packages/mustardquay/tests/test_crash_watches.py
+++ b/packages/mustardquay/tests/test_crash_watches.py
@@ -6,7 +6,7 @@
 NOW = timedelta(seconds=70)
 
 
-def test_a_broken_connection_alone_accuses_nobody():
+def test_a_broken_connection_alone_is_no_crash():
     """Guards against quarantining a harmless request for minutes.
 
     Its answers were lost three times in a row while its upstreams were alive.
@@ -18,7 +18,7 @@
     assert watch.note_lost("u2", NOW) is None
 
 
-def test_all_that_was_in_flight_in_a_crash_is_accused_once():
+def test_requests_in_flight_at_a_crash_are_reported_once():
     watch = CrashWatch()
     for fingerprint in (5, 6, 5):
         watch.note_broken("u1", "b1", fingerprint, NOW)
--- a/packages/mustardquay/tests/test_fair_queues.py
+++ b/packages/mustardquay/tests/test_fair_queues.py
@@ -187,7 +187,7 @@
     assert queue.take(span(0)).customer == "large"
 
 
-def test_first_tokens_that_come_late_raise_the_refusals():
+def test_late_first_tokens_lead_to_refusals():
     """Guards against accepting work that is then answered too late.
 
     The engine has become slower than its reported rate, and the queue must not keep
@@ -201,8 +201,8 @@
         now += 0.6
         queue.note_first_token(work.key, span(now))
         queue.finish(work.key, 1, span(now))
-    hopeless = make_work("late", tokens=1000, start_by=now + 0.3)
-    refusal = queue.offer(hopeless, span(now))
+    late = make_work("late", tokens=1000, start_by=now + 0.3)
+    refusal = queue.offer(late, span(now))
     assert refusal.reason is Reason.DEADLINE
     assert refusal.retry_after >= timedelta(milliseconds=100)
 
@@ -220,7 +220,7 @@
     assert len(digest.seconds) <= 20
 
 
-def test_a_digest_counts_once_and_is_forgotten():
+def test_a_digest_counts_once_and_expires():
     here, there = UsageMeter("here"), UsageMeter("there")
     there.charge("c", 20.0, span(0))
     digest = there.digest(span(0))
@@ -231,7 +231,7 @@
     assert here.rate("c", span(60)) == 0.0
 
 
-def test_the_queue_forgets_idle_customers():
+def test_idle_customers_are_evicted():
     queue = FairQueue(capacity=10, prefill_rate=1e6, lookahead=span(100))
     for number in range(500):
         queue.offer(make_work(number, f"c{number}"), span(0))
@@ -248,7 +248,7 @@
     assert queue.offer(make_work(1, tokens=4000, start_by=1.0), span(0)) is None
 
 
-def test_given_up_work_is_told_when_the_queue_will_be_done():
+def test_late_work_is_refused_with_the_predicted_wait():
     queue = FairQueue(prefill_rate=1000.0, lookahead=timedelta())
     queue.offer(make_work(1, tokens=3000, start_by=9.0), span(0))
     assert queue.take(span(0)) is not None
--- a/packages/mustardquay/tests/test_quarantines.py
+++ b/packages/mustardquay/tests/test_quarantines.py
@@ -19,7 +19,7 @@
 
 UPSTREAMS = ("u1", "u2", "u3", "u4", "u5", "u6")
 ENTRIES = ("e1", "e2", "e3")
-POISON = 666
+CRASHING = 666
 STEADY = settings(derandomize=True, deadline=None, database=None, max_examples=150)
 
 
@@ -39,27 +39,25 @@
     @rule(
         entry=st.sampled_from(ENTRIES),
         upstream=st.sampled_from(UPSTREAMS),
-        fingerprint=st.sampled_from([POISON, 1, 2, 3]),
+        fingerprint=st.sampled_from([CRASHING, 1, 2, 3]),
     )
     def call(self, entry, upstream, fingerprint):
         known = self.quarantines[entry]
-        standing = known.find_status(fingerprint, self.now)
-        if standing is FingerprintStatus.REFUSED:
+        status = known.find_status(fingerprint, self.now)
+        if status is FingerprintStatus.REFUSED:
             return
-        if standing is FingerprintStatus.SUSPECT:
+        if status is FingerprintStatus.SUSPECT:
             crashed = known.list_crashed(fingerprint)
             upstream = choose_suspect_upstream(fingerprint, UPSTREAMS, crashed)
         self._arrive(upstream, fingerprint)
 
     def _arrive(self, upstream, fingerprint):
-        standing = self.quarantines[upstream].find_status(fingerprint, self.now)
-        if standing is FingerprintStatus.REFUSED:
+        status = self.quarantines[upstream].find_status(fingerprint, self.now)
+        if status is FingerprintStatus.REFUSED:
             return
         self.sent += 1
         key = (f"r{self.sent}", 1)
-        if standing is FingerprintStatus.SUSPECT and not self.gates[upstream].admit(
-            key
-        ):
+        if status is FingerprintStatus.SUSPECT and not self.gates[upstream].admit(key):
             return
         self.running[upstream][key] = fingerprint
 
@@ -67,7 +65,7 @@
     def engine_goes_on(self, upstream):
         """Crash if the crashing request runs here, else answer all requests."""
         running = self.running[upstream]
-        if POISON in running.values():
+        if CRASHING in running.values():
             self.boots[upstream] += 1
             crash = CrashId(upstream, f"b{self.boots[upstream]}")
             fingerprints = set(running.values())
@@ -94,28 +92,28 @@
                 for upstream in UPSTREAMS:
                     self._send(upstream, entry)
                     self._send(entry, upstream)
-        standings = {
-            tuple(known.find_status(name, self.now) for name in (POISON, 1, 2, 3))
+        statuses = {
+            tuple(known.find_status(name, self.now) for name in (CRASHING, 1, 2, 3))
             for known in self.quarantines.values()
         }
-        assert len(standings) == 1, "the records did not converge"
+        assert len(statuses) == 1, "the records did not converge"
         self._check_that_a_suspect_has_one_upstream()
 
     def _check_that_a_suspect_has_one_upstream(self):
         if (
-            self.quarantines["e1"].find_status(POISON, self.now)
+            self.quarantines["e1"].find_status(CRASHING, self.now)
             is not FingerprintStatus.SUSPECT
         ):
             return
-        before = [POISON in running.values() for running in self.running.values()]
+        before = [CRASHING in running.values() for running in self.running.values()]
         if any(before):
             return
         # Retries through all entries at once, whichever upstream they would choose.
         for entry in ENTRIES:
             for upstream in UPSTREAMS:
-                self.call(entry, upstream, POISON)
+                self.call(entry, upstream, CRASHING)
         after = [
-            list(running.values()).count(POISON) for running in self.running.values()
+            list(running.values()).count(CRASHING) for running in self.running.values()
         ]
         assert sorted(after) in ([0] * 6, [0] * 5 + [1])
 
@@ -124,7 +122,7 @@
         self.quarantines[receiver].merge(records, self.now)
 
     @rule(fingerprint=st.sampled_from([1, 2, 3]))
-    def a_refused_one_was_seen_in_two_crashes(self, fingerprint):
+    def refused_requests_have_two_crashes(self, fingerprint):
         for known in self.quarantines.values():
             if known.find_status(fingerprint, self.now) is FingerprintStatus.REFUSED:
                 assert self.in_flight_at_crashes[fingerprint] >= 2
@@ -133,11 +131,11 @@
         """Check that all records converge: refused after two crashes, then expired."""
         self.all_heartbeats_arrive()
         known = self.quarantines["e1"]
-        counted = self.in_flight_at_crashes[POISON]
+        counted = self.in_flight_at_crashes[CRASHING]
         if counted >= 2:
-            assert known.find_status(POISON, self.now) is FingerprintStatus.REFUSED
+            assert known.find_status(CRASHING, self.now) is FingerprintStatus.REFUSED
         elif counted == 1:
-            assert known.find_status(POISON, self.now) is FingerprintStatus.SUSPECT
+            assert known.find_status(CRASHING, self.now) is FingerprintStatus.SUSPECT
         for _ in range(2400):
             self.now += timedelta(seconds=1)
             if self.now.total_seconds() % 60 == 0:
@@ -145,12 +143,12 @@
                     self._send("u1", entry)
                     self._send(entry, "u1")
         assert (
-            self.quarantines["u1"].find_status(POISON, self.now)
+            self.quarantines["u1"].find_status(CRASHING, self.now)
             is FingerprintStatus.CLEAR
         )
 
 
-def test_a_poisonous_request_is_held_to_one_upstream_and_then_refused():
+def test_a_crashing_request_is_limited_to_one_upstream_and_then_refused():
     """Guards against engines failing one after the other: a request crashes each engine
     that runs it, and its caller retries it through every entry. Other requests that
     were in flight at a crash must still be answered."""
@@ -159,18 +157,18 @@
     )
 
 
-def test_an_innocent_is_cleared_by_its_answer_and_the_poison_is_not():
+def test_an_answer_clears_a_suspect_but_not_a_refused_request():
     quarantine = Quarantine()
     now = timedelta()
-    quarantine.note_crash(CrashId("u1", "b1"), [POISON, 1], now)
+    quarantine.note_crash(CrashId("u1", "b1"), [CRASHING, 1], now)
     quarantine.note_answer(1, now)
-    quarantine.note_crash(CrashId("u2", "b1"), [POISON], now)
-    quarantine.note_answer(POISON, now)
+    quarantine.note_crash(CrashId("u2", "b1"), [CRASHING], now)
+    quarantine.note_answer(CRASHING, now)
     assert quarantine.find_status(1, now) is FingerprintStatus.CLEAR
-    assert quarantine.find_status(POISON, now) is FingerprintStatus.REFUSED
-    refusal = quarantine.refuse(POISON, now)
+    assert quarantine.find_status(CRASHING, now) is FingerprintStatus.REFUSED
+    refusal = quarantine.refuse(CRASHING, now)
     assert (
-        quarantine.find_status(POISON, now + refusal.retry_after)
+        quarantine.find_status(CRASHING, now + refusal.retry_after)
         is FingerprintStatus.CLEAR
     )
 
@@ -195,7 +193,7 @@
         assert target.find_status(fingerprint, now) is expected
 
 
-def test_changes_are_told_in_bounded_parts_until_all_are_known():
+def test_changes_are_sent_in_bounded_batches():
     quarantine, peer = Quarantine(), Quarantine()
     now = timedelta()
     quarantine.note_crash(CrashId("u1", "b1"), range(250), now)
@@ -231,7 +229,7 @@
     seed=st.integers(0, 100),
 )
 @STEADY
-def test_a_pause_never_passes_the_deadline(retry, remaining, seed):
+def test_a_backoff_never_exceeds_the_deadline(retry, remaining, seed):
     pause = choose_backoff(retry, remaining, Random(seed))
     assert pause is None or timedelta() <= pause < remaining
 
@@ -249,7 +247,7 @@
         assert tombstones.contains(("r", 1), now), f"forgotten after {ran} steps"
 
 
-def test_an_agent_without_room_affirms_nothing_and_forgets_nothing_early():
+def test_a_full_store_adds_no_tombstone_and_drops_none_early():
     tombstones = Tombstones(retention=timedelta(seconds=60), capacity=1)
     assert tombstones.add(("r", 1), timedelta())
     assert not tombstones.add(("r", 2), timedelta())
--- a/packages/mustardquay/tests/test_retry_decisions.py
+++ b/packages/mustardquay/tests/test_retry_decisions.py
@@ -34,11 +34,11 @@
 
 @pytest.mark.parametrize("route", [ONCE, STREAM, AGAIN, RESUMABLE])
 @pytest.mark.parametrize("end", [SendEnd.NOT_RUN, SendEnd.NOT_SENT])
-def test_what_was_affirmed_not_to_have_run_is_sent_again(route, end):
+def test_a_request_that_was_confirmed_not_run_is_sent_again(route, end):
     assert decide(route, end) is NextStep.SEND_AGAIN
 
 
-def test_a_refusal_after_a_send_that_may_have_run_is_no_refusal():
+def test_not_run_after_a_send_that_may_have_run_is_a_failure():
     """Guards against a caller repeating a booking that was already made.
 
     The connection to the first upstream broke and the second upstream is full. "Not
@@ -73,7 +73,7 @@
     assert decide(AGAIN, SendEnd.NOT_RUN, left=short) is NextStep.REFUSE
 
 
-def test_an_address_that_changed_hands_is_not_tried_for_ever():
+def test_sends_to_a_reassigned_address_are_limited():
     other = SendEnd.OTHER_UPSTREAM
     assert decide(ONCE, other) is NextStep.SEND_AGAIN
     assert decide(ONCE, other, before=[other]) is NextStep.REFUSE
--- a/packages/mustardquay/tests/test_route_times.py
+++ b/packages/mustardquay/tests/test_route_times.py
@@ -12,7 +12,7 @@
         times.note("r", now, longest * number / MIN_SAMPLES)
 
 
-def test_a_few_answers_tell_nothing():
+def test_too_few_answers_give_no_estimate():
     times = RouteTimes()
     for _ in range(MIN_SAMPLES - 1):
         times.note("r", SECOND, SECOND)
@@ -36,7 +36,7 @@
     assert longest.predict_stream(160) == HEADROOM * 8.1 * SECOND
 
 
-def test_what_was_long_ago_is_forgotten():
+def test_old_answers_expire():
     times = RouteTimes()
     note_many(times, SECOND)
     note_many(times, SECOND / 4, SECOND + WINDOW)
@@ -62,7 +62,7 @@
     assert times.find_longest("r", now).first == HEADROOM * SECOND / 10
 
 
-def test_a_slow_answer_in_sixteen_is_not_promised_away_by_fifteen_quick_ones():
+def test_fifteen_fast_answers_are_too_few_for_an_estimate():
     """Guards against accepting a request late in a stop because of too few samples."""
     times = RouteTimes()
     for number in range(15):
--- a/packages/mustardquay/tests/test_routing_tables.py
+++ b/packages/mustardquay/tests/test_routing_tables.py
@@ -47,7 +47,7 @@
 @pytest.mark.parametrize(
     ("host", "path"), [("a.example", "/z/"), ("a.example", "/x"), ("c.example", "/x/")]
 )
-def test_what_no_route_covers_has_none(host, path):
+def test_an_unknown_host_or_path_has_no_route(host, path):
     assert TABLE.find_route(host, path) is None
 
 
--- a/packages/mustardquay/tests/test_stop_bounds.py
+++ b/packages/mustardquay/tests/test_stop_bounds.py
@@ -16,9 +16,9 @@
 MILLISECOND = timedelta(milliseconds=1)
 
 
-def hear(book, name, now, zone="a", **changes):
+def receive(peers, name, now, zone="a", **changes):
     digest = PeerDigest(name, 1, 1, 1, availability_zone=zone, **changes)
-    book.hear(digest, now)
+    peers.hear(digest, now)
 
 
 def test_two_gateways_that_end_together_do_not_both_end_early():
@@ -31,32 +31,36 @@
     now, way = 3 * SECOND, 2 * MILLISECOND
     for late in range(0, 400):
         shifted = {name: end + late * MILLISECOND for name, end in ends.items()}
-        books = {"g1": FleetBook(), "g2": FleetBook()}
-        hear(books["g1"], "g2", now + way, ends_in=shifted["g2"] - now, is_ready=False)
-        hear(books["g2"], "g1", now + way, ends_in=shifted["g1"] - now, is_ready=False)
+        views = {"g1": FleetBook(), "g2": FleetBook()}
+        receive(
+            views["g1"], "g2", now + way, ends_in=shifted["g2"] - now, is_ready=False
+        )
+        receive(
+            views["g2"], "g1", now + way, ends_in=shifted["g1"] - now, is_ready=False
+        )
         later = now + 2 * way
         both = [
-            is_next_to_end(name, book.list_members(later))
-            for name, book in books.items()
+            is_next_to_end(name, peers.list_members(later))
+            for name, peers in views.items()
         ]
         assert sum(both) == 1, (late, both)
 
 
-def test_a_gateway_that_stays_away_draws_nobody_back_at_once():
+def test_callers_retry_with_a_delay_after_a_missed_return():
     """Guards against refused callers that retry repeatedly without any delay.
 
     A gateway was silent for longer than a restart usually takes, so that its expected
     return is in the past.
     """
-    book = FleetBook()
-    hear(book, "g2", timedelta())
+    peers = FleetBook()
+    receive(peers, "g2", timedelta())
     now = MEMORY - SECOND
     assert now > DIGEST_LIFETIME
-    members = book.list_members(now)
+    members = peers.list_members(now)
     assert find_return(members, now + 5 * SECOND, 9 * SECOND, now) > timedelta()
 
 
-def test_a_longer_generation_is_not_held_for_a_short_one():
+def test_a_long_generation_is_not_estimated_as_a_short_one():
     """Guards against accepting a generation that takes longer than estimated.
 
     The number of tokens in a request is an upper bound. Earlier requests ended after a
@@ -70,22 +74,22 @@
     assert longest.predict_stream(200) >= token + 200 * token
 
 
-def test_a_gateway_that_has_just_become_ready_does_not_yet_relieve_others():
+def test_a_gateway_counts_as_ready_only_after_a_probe():
     """Guards against callers being refused, or finding no gateway, for up to a second.
 
     The load balancer probes each second whether a gateway is ready. Until it has probed
     a new gateway, it routes callers to all gateways of the zone, including one that is
     stopping and would accept nothing more because of the new gateway's digest.
     """
-    book = FleetBook()
-    hear(book, "g2", SECOND, is_ready=False)
-    assert is_needed("a", book.list_members(SECOND))
+    peers = FleetBook()
+    receive(peers, "g2", SECOND, is_ready=False)
+    assert is_needed("a", peers.list_members(SECOND))
     ready = PeerDigest("g2", 2, 1, 1, availability_zone="a", is_ready=True)
-    book.hear(ready, 2 * SECOND)
-    assert is_needed("a", book.list_members(2 * SECOND + 50 * MILLISECOND))
+    peers.hear(ready, 2 * SECOND)
+    assert is_needed("a", peers.list_members(2 * SECOND + 50 * MILLISECOND))
 
 
-def test_the_first_of_a_zone_of_a_large_fleet_knows_that_it_is_needed():
+def test_the_first_gateway_of_a_zone_in_a_large_fleet_is_still_routed():
     """Guards against a gateway that refuses all callers while they are routed to it.
 
     Each of 40 gateways sends digests to the 16 that follow it by name, so that the
@@ -95,10 +99,10 @@
 
     names = [f"{zone}-{index:02}" for zone in "abc" for index in range(13)]
     own = "b-00"
-    book = FleetBook()
+    peers = FleetBook()
     for name in names:
         if name != own and own in list_told(name, set(names) - {name}):
             stops = name.startswith("b") and name < "b-08"
             left = 5 * SECOND if stops else None
-            hear(book, name, SECOND, name[0], is_ready=not stops, ends_in=left)
-    assert is_needed("b", book.list_members(SECOND))
+            receive(peers, name, SECOND, name[0], is_ready=not stops, ends_in=left)
+    assert is_needed("b", peers.list_members(SECOND))
--- a/packages/mustardquay/tests/test_stop_fleets.py
+++ b/packages/mustardquay/tests/test_stop_fleets.py
@@ -31,7 +31,7 @@
 
     fleet: FleetBook = field(default_factory=FleetBook)
     times: StopTimes | None = None
-    back_at: timedelta | None = None
+    restarts_at: timedelta | None = None
     running: list[timedelta] = field(default_factory=list)
 
 
@@ -43,19 +43,19 @@
         self.clock = VirtualClock()
         self.gateways = {name: Gateway() for name in GATEWAYS}
         self.number = 0
-        self.heard = set(GATEWAYS)
+        self.senders = set(GATEWAYS)
 
     @rule(name=st.sampled_from(GATEWAYS))
     def stop(self, name):
         gateway = self.gateways[name]
-        if gateway.times is None and gateway.back_at is None:
+        if gateway.times is None and gateway.restarts_at is None:
             now = self.clock.monotonic()
             gateway.times = StopTimes(now, now + TIME_TO_DRAIN)
 
     @rule(name=st.sampled_from(GATEWAYS), longest=st.integers(1, 20_000))
     def request(self, name, longest):
         gateway = self.gateways[name]
-        if gateway.back_at is not None:
+        if gateway.restarts_at is not None:
             return
         now, longest = self.clock.monotonic(), timedelta(milliseconds=longest)
         state = self.find_state(name)
@@ -67,22 +67,22 @@
 
     @rule(name=st.sampled_from(GATEWAYS))
     def lose_digests(self, name):
-        self.heard ^= {name}
+        self.senders ^= {name}
 
     @rule(steps=st.integers(1, 60))
     def wait(self, steps):
         for _ in range(steps):
             self.clock.advance(STEP)
-            self.tell()
+            self.send_digests()
             for name in GATEWAYS:
-                self.look(name)
+                self.update_gateway(name)
 
-    def tell(self):
+    def send_digests(self):
         self.number += 1
         now = self.clock.monotonic()
-        for name in self.heard:
+        for name in self.senders:
             sender = self.gateways[name]
-            if sender.back_at is not None:
+            if sender.restarts_at is not None:
                 continue
             left = None if sender.times is None else sender.times.ends_at - now
             digest = PeerDigest(
@@ -98,15 +98,15 @@
                 if other != name:
                     gateway.fleet.hear(digest, now)
 
-    def look(self, name):
+    def update_gateway(self, name):
         gateway, now = self.gateways[name], self.clock.monotonic()
         gateway.running = [end for end in gateway.running if end > now]
-        if gateway.back_at is not None and now >= gateway.back_at:
+        if gateway.restarts_at is not None and now >= gateway.restarts_at:
             self.gateways[name] = Gateway()
         elif gateway.times is not None and self.has_closed(name):
             before_stop = [e for e in gateway.running if e >= gateway.times.ends_at]
             assert gateway.running == before_stop, "a late request was cut off"
-            gateway.back_at = now + RESTART
+            gateway.restarts_at = now + RESTART
             gateway.times = None
             gateway.running.clear()
 
--- a/packages/mustardquay/tests/test_stops.py
+++ b/packages/mustardquay/tests/test_stops.py
@@ -28,12 +28,14 @@
 LEAVING = StopState.LEAVING
 
 
-def test_a_gateway_that_was_not_told_to_stop_serves():
+def test_a_gateway_without_a_stop_serves():
     assert find_state(None, 3 * SECOND, 0) is StopState.SERVING
 
 
 @given(now=MOMENTS, estimate=ESTIMATES, in_flight=st.integers(0, 3))
-def test_what_is_taken_ends_in_time_or_can_be_told_so(now, estimate, in_flight):
+def test_an_accepted_request_ends_in_time_or_can_be_cut_off_safely(
+    now, estimate, in_flight
+):
     state = find_state(TIMES, now, in_flight)
     begin_by = admit_request(state, TIMES, now, estimate)
     if begin_by is None:
@@ -49,25 +51,25 @@
     assert (state is StopState.CLOSED) == (now >= TIMES.ends_at)
 
 
-def test_a_request_that_ends_by_its_own_limit_is_taken():
+def test_a_request_with_a_short_timeout_is_accepted():
     assert admit_request(LEAVING, TIMES, 11 * SECOND, RequestEstimate(2 * SECOND, None))
     assert not admit_request(
         LEAVING, TIMES, 11 * SECOND, RequestEstimate(6 * SECOND, None)
     )
-    last_calls = StopState.DRAINING
+    draining = StopState.DRAINING
     assert not admit_request(
-        last_calls, TIMES, 11 * SECOND, RequestEstimate(SECOND, None)
+        draining, TIMES, 11 * SECOND, RequestEstimate(SECOND, None)
     )
 
 
-def test_a_plain_request_is_taken_by_what_its_route_has_taken():
+def test_a_plain_request_is_accepted_by_the_times_of_its_route():
     estimate = RequestEstimate(15 * SECOND, LongestTimes(SECOND, 0 * SECOND))
     begin_by = admit_request(LEAVING, TIMES, 15 * SECOND, estimate)
     assert begin_by == TIMES.answer_by
     assert not admit_request(LEAVING, TIMES, 16 * SECOND, estimate)
 
 
-def test_only_at_first_a_stream_is_taken_by_its_events():
+def test_a_stream_is_accepted_by_its_events_only_early_in_a_stop():
     """Guards against truncating a stream that was accepted late in a stop.
 
     By its number of events it was expected to end in time, but each event took longer
--- a/packages/mustardquay/tests/test_version_trackers.py
+++ b/packages/mustardquay/tests/test_version_trackers.py
@@ -9,26 +9,26 @@
     return timedelta(seconds=seconds)
 
 
-def test_the_lag_counts_from_the_oldest_version_that_is_missing():
+def test_the_lag_counts_from_the_oldest_missing_version():
     """Guards against a process that is always one version late counting as current."""
-    book = VersionTracker()
-    book.set_in_force(4)
-    assert book.note_version(5, at(1))
-    assert book.note_version(7, at(2))
-    assert not book.note_version(5, at(3))
-    assert (book.known, book.measure_lag(at(4))) == (7, at(3))
-    book.set_in_force(5)
-    assert (book.known, book.measure_lag(at(4))) == (7, at(2))
-    book.set_in_force(7)
-    assert (book.is_behind, book.measure_lag(at(4))) == (False, at(0))
-
-
-def test_versions_that_are_not_newer_are_no_news():
-    book = VersionTracker()
-    book.set_in_force(4)
-    assert not book.note_version(4, at(1))
-    assert not book.note_version(3, at(1))
-    assert not book.is_behind
+    tracker = VersionTracker()
+    tracker.set_in_force(4)
+    assert tracker.note_version(5, at(1))
+    assert tracker.note_version(7, at(2))
+    assert not tracker.note_version(5, at(3))
+    assert (tracker.known, tracker.measure_lag(at(4))) == (7, at(3))
+    tracker.set_in_force(5)
+    assert (tracker.known, tracker.measure_lag(at(4))) == (7, at(2))
+    tracker.set_in_force(7)
+    assert (tracker.is_behind, tracker.measure_lag(at(4))) == (False, at(0))
+
+
+def test_versions_that_are_not_newer_are_ignored():
+    tracker = VersionTracker()
+    tracker.set_in_force(4)
+    assert not tracker.note_version(4, at(1))
+    assert not tracker.note_version(3, at(1))
+    assert not tracker.is_behind
 
 
 @pytest.mark.parametrize(
@@ -43,13 +43,13 @@
 )
 def test_a_table_is_outdated_once_most_others_have_a_newer_one(others, seconds, state):
     """Guards against routing all callers to the one gateway with a newer version."""
-    book = VersionTracker()
-    book.set_in_force(4)
-    book.note_version(5, at(10))
-    assert book.find_state(others, at(2), at(10 + seconds)) is state
+    tracker = VersionTracker()
+    tracker.set_in_force(4)
+    tracker.note_version(5, at(10))
+    assert tracker.find_state(others, at(2), at(10 + seconds)) is state
 
 
 def test_a_table_with_nothing_newer_is_current():
-    book = VersionTracker()
-    book.set_in_force(4)
-    assert book.find_state([4, 3], at(2), at(99)) is TableState.CURRENT
+    tracker = VersionTracker()
+    tracker.set_in_force(4)
+    assert tracker.find_state([4, 3], at(2), at(99)) is TableState.CURRENT
