--- a/packages/mustardquay/src/mustardquay/quarantines.py
+++ b/packages/mustardquay/src/mustardquay/quarantines.py
@@ -27,8 +27,8 @@
 __all__ = [
     "CrashId",
     "CrashRecord",
-    "Quarantine",
     "FingerprintStatus",
+    "Quarantine",
     "SuspectGate",
     "choose_suspect_upstream",
 ]
--- a/packages/mustardquay/src/mustardquay/rate_limits.py
+++ b/packages/mustardquay/src/mustardquay/rate_limits.py
@@ -12,7 +12,7 @@
 from .rate_shares import FleetDemand
 from .upstream_lists import UpstreamRecord
 
-__all__ = ["RateLimiter", "LimitChange", "LimitNotice", "Reservation"]
+__all__ = ["LimitChange", "LimitNotice", "RateLimiter", "Reservation"]
 
 LIMIT_LIFETIME = timedelta(seconds=10)
 """How long a limit stays in effect after the last answer that announced it."""
--- a/packages/mustardquay/src/mustardquay/stops.py
+++ b/packages/mustardquay/src/mustardquay/stops.py
@@ -6,9 +6,9 @@
   the whole stop if too few other gateways are ready. Requests that can be answered
   completely in the remaining time are accepted; all others are refused, since a
   truncated answer is worse than none.
-- draining: other gateways are ready. No request is accepted, so that the process exits
-  as soon as the running ones have ended; callers that still connect get a refusal
-  rather than no response.
+- draining (`last_calls`): other gateways are ready. No request is accepted, so that the
+  process exits as soon as the running ones have ended; callers that still connect get a
+  refusal rather than no response.
 - closed: the time is over, or no request is running.
 """
 
