--- a/packages/mustardquay/src/mustardquay/retry_decisions.py
+++ b/packages/mustardquay/src/mustardquay/retry_decisions.py
@@ -23,7 +23,7 @@
 
 
 class NextStep(StrEnum):
-    """What follows a send."""
+    """The next step after a send has ended."""
 
     SEND_AGAIN = "send_again"
     RESUME = "resume"
