--- a/packages/mustardquay/src/mustardquay/decaying_fits.py
+++ b/packages/mustardquay/src/mustardquay/decaying_fits.py
@@ -1,10 +1,11 @@
-"""Decaying fits: a few coefficients learned from a stream of noisy measurements.
+"""Decaying fits: linear coefficients learned from a stream of noisy measurements.
 
 Weighted least squares in information form with exponential forgetting (Haykin,
 "Adaptive Filter Theory", recursive least squares) around a ridge prior (Hoerl and
 Kennard, 1970). Queues and networks only ever delay an answer, so a measurement above
-the estimate weighs less than one below it (expectiles; Newey and Powell, 1987), and one
-far above it hardly at all (Huber, 1964). State is a small matrix, whatever came.
+the estimate has less weight than one below it (expectiles; Newey and Powell, 1987), and
+one far above it has almost none (Huber, 1964). The state is a small matrix, whatever
+the number of measurements.
 """
 
 from collections.abc import Sequence
@@ -12,29 +13,32 @@
 __all__ = ["DecayingFit", "dot"]
 
 FORGETTING = 0.98
-"""Weight that a measurement keeps with each newer one: some 50 count. At ten answers a
-second, engines that become slower are known within a few seconds."""
+"""Factor by which each new measurement reduces the weight of older ones: about 50
+count. At ten answers a second, a slowdown is detected within a few seconds."""
 ABOVE_WEIGHT = 0.3
-"""Weight of a measurement above the estimate, against 1 below it. Digests are tens of
-milliseconds old, so that about half of the measurements have an unseen wait in them."""
+"""Weight of a measurement above the estimate, relative to one below it. Digests are
+tens of milliseconds old, so that about half of the measurements include an unknown
+wait."""
 OUTLIER_SHARE = 0.5
-"""Part of the estimate by which a measurement may be above it before it weighs less."""
-SURPRISES = 6
-"""Measurements in a row off in one direction after which what was known before them is
-discounted: six in a row by chance are one in sixty."""
-SURPRISE_RATIO = 1.6
-"""Ratio to the estimate, or its inverse, from which a measurement is a surprise. One
-engine's answers vary by a quarter."""
-SURPRISE_KEEP = 0.05
-"""Weight that older measurements and the prior keep after a row of surprises."""
-LEAST_SURENESS = 0.5
-"""Sureness above which a measurement may be a surprise: a queue that grows for a second
-makes all that wait in it late, and is no change of the engine."""
-LEAST_TRUST = 0.002
-"""Weight that the prior keeps at least, so that features which always come together
-still have one solution."""
-LEAST_SCALE = 0.004
-"""Seconds below which errors aren't taken as relative: two ways through a network."""
+"""Excess over the estimate, as a fraction of it, from which a measurement loses
+weight."""
+CHANGE_LENGTH = 6
+"""Number of consecutive deviations in the same direction after which older measurements
+are discounted: six in a row occur by chance once in sixty."""
+DEVIATION_RATIO = 1.6
+"""Ratio to the estimate, or its inverse, from which a measurement counts as a
+deviation. Answers of one engine vary by a quarter."""
+CHANGE_KEEP = 0.05
+"""Weight that older measurements and the prior keep after such a series."""
+MIN_CONFIDENCE = 0.5
+"""Confidence above which a measurement may count as a deviation: a queue that builds up
+for a second delays all requests in it without a change of the engine."""
+MIN_PRIOR_WEIGHT = 0.002
+"""Minimum weight of the prior, so that features which always occur together still have
+a unique solution."""
+MIN_SCALE = 0.004
+"""Seconds below which errors aren't relative to the estimate: two network round
+trips."""
 
 
 class DecayingFit:
@@ -46,10 +50,10 @@
         scales: Sequence[float],
         strengths: Sequence[float] | None = None,
     ):
-        """Take the coefficients before the first measurement.
+        """Start from the coefficients of a prior.
 
-        `scales` holds the usual size of each feature, `strengths` how well its prior
-        is known: with 1, one measurement at that size counts as much as the prior.
+        `scales` holds the typical size of each feature, `strengths` the confidence in
+        its prior: at 1, one measurement of that size has the same weight as the prior.
         """
         size = len(prior)
         self._prior = tuple(prior)
@@ -58,37 +62,37 @@
         self._matrix = [[0.0] * size for _ in range(size)]
         self._vector = [0.0] * size
         self._weight = 0.0
-        self._trust = 1.0
-        self._run = 0
+        self._prior_weight = 1.0
+        self._deviations = 0
         self._solved: tuple[float, ...] | None = self._prior
 
     @property
     def samples(self) -> float:
-        """Return the measurements that count, older ones for less."""
+        """Return the effective number of measurements; older ones count less."""
         return self._weight
 
     @property
     def prior(self) -> tuple[float, ...]:
-        """Return the coefficients before the first measurement, or as a peer told."""
+        """Return the initial coefficients, or those last taken over from a peer."""
         return self._prior
 
     @property
     def coefficients(self) -> tuple[float, ...]:
-        """Return the coefficients as they are believed now."""
+        """Return the current estimate of the coefficients."""
         if self._solved is None:
             self._solved = self._solve()
         return self._solved
 
     def set_prior(self, prior: Sequence[float]) -> None:
-        """Take other coefficients to start from; they weigh as much as those before."""
+        """Replace the prior without changing its weight."""
         self._prior = tuple(prior)
         self._solved = None
 
-    def restart(self, prior: Sequence[float], trust: float) -> None:
-        """Forget the measurements and start from coefficients that weigh `trust`."""
+    def restart(self, prior: Sequence[float], weight: float) -> None:
+        """Discard the measurements and start from a prior with the given weight."""
         self._prior = tuple(prior)
-        self._trust = trust
-        self._run = 0
+        self._prior_weight = weight
+        self._deviations = 0
         self._decay(0.0)
         self._solved = None
 
@@ -97,39 +101,39 @@
         return dot(self.coefficients, features)
 
     def learn(
-        self, features: Sequence[float], seconds: float, sureness: float = 1.0
+        self, features: Sequence[float], seconds: float, confidence: float = 1.0
     ) -> None:
-        """Take in one measurement, for less if it is unsure."""
+        """Add one measurement, weighted by its confidence."""
         expected = self.predict(features)
-        if sureness > LEAST_SURENESS:
-            self._note_surprise(expected, seconds)
-        is_change = abs(self._run) >= SURPRISES
-        weight = sureness * _weigh(expected, seconds, is_change)
-        keep = FORGETTING**sureness
+        if confidence > MIN_CONFIDENCE:
+            self._note_deviation(expected, seconds)
+        is_change = abs(self._deviations) >= CHANGE_LENGTH
+        weight = confidence * _weigh(expected, seconds, is_change)
+        keep = FORGETTING**confidence
         self._decay(keep)
-        self._distrust(keep)
+        self._discount_prior(keep)
         for row, left in enumerate(features):
             for column, right in enumerate(features):
                 self._matrix[row][column] += weight * left * right
             self._vector[row] += weight * left * seconds
-        self._weight += sureness
+        self._weight += confidence
         self._solved = None
 
-    def _note_surprise(self, expected: float, seconds: float) -> None:
-        scale = max(expected, LEAST_SCALE)
-        if seconds > scale * SURPRISE_RATIO:
-            self._run = max(self._run, 0) + 1
-        elif seconds * SURPRISE_RATIO < scale:
-            self._run = min(self._run, 0) - 1
+    def _note_deviation(self, expected: float, seconds: float) -> None:
+        scale = max(expected, MIN_SCALE)
+        if seconds > scale * DEVIATION_RATIO:
+            self._deviations = max(self._deviations, 0) + 1
+        elif seconds * DEVIATION_RATIO < scale:
+            self._deviations = min(self._deviations, 0) - 1
         else:
-            self._run = 0
-        if self._run and self._run % SURPRISES == 0:
-            self._decay(SURPRISE_KEEP)
-            self._distrust(SURPRISE_KEEP)
+            self._deviations = 0
+        if self._deviations and self._deviations % CHANGE_LENGTH == 0:
+            self._decay(CHANGE_KEEP)
+            self._discount_prior(CHANGE_KEEP)
 
-    def _distrust(self, keep: float) -> None:
-        """Have the prior weigh less, as it is older than any measurement."""
-        self._trust = max(self._trust * keep, LEAST_TRUST)
+    def _discount_prior(self, keep: float) -> None:
+        """Reduce the weight of the prior, as it is older than any measurement."""
+        self._prior_weight = max(self._prior_weight * keep, MIN_PRIOR_WEIGHT)
 
     def _decay(self, keep: float) -> None:
         for row in self._matrix:
@@ -150,11 +154,11 @@
         return self._prior
 
     def _solve_for(self, free: Sequence[int]) -> dict[int, float]:
-        expected = max(dot(self._prior, self._scales), LEAST_SCALE)
+        expected = max(dot(self._prior, self._scales), MIN_SCALE)
         rows = []
         for index in free:
             strength = self._strengths[index] * self._scales[index] / expected
-            ridge = self._trust * strength**2
+            ridge = self._prior_weight * strength**2
             row = [self._matrix[index][other] for other in free]
             row[free.index(index)] += ridge
             rows.append([*row, self._vector[index] + ridge * self._prior[index]])
@@ -171,8 +175,8 @@
 
 
 def _weigh(expected: float, seconds: float, is_change: bool) -> float:
-    """Return the weight of a measurement; those of a change are all believed."""
-    scale = max(expected, LEAST_SCALE)
+    """Return the weight of a measurement; after a change, all have full weight."""
+    scale = max(expected, MIN_SCALE)
     excess = seconds - expected
     if is_change:
         return 1.0 / max(scale, seconds) ** 2
@@ -182,7 +186,10 @@
 
 
 def _eliminate(rows: list[list[float]]) -> list[float]:
-    """Solve equations by elimination; each row ends with its right side."""
+    """Solve linear equations by Gaussian elimination.
+
+    Each row ends with its right side.
+    """
     size = len(rows)
     for pivot in range(size):
         best = max(range(pivot, size), key=lambda row: abs(rows[row][pivot]))
--- a/packages/mustardquay/src/mustardquay/engine_books.py
+++ b/packages/mustardquay/src/mustardquay/engine_books.py
@@ -1,4 +1,4 @@
-"""Engine books: what one gateway believes of the model engines it places work on."""
+"""Engine books: the state of the model engines as estimated by one gateway."""
 
 from collections import OrderedDict
 from collections.abc import Iterable, Sequence
@@ -24,11 +24,12 @@
     "hash_parts",
 ]
 
-HELD_SHARE = {Stage.PREFILL: 0.93, Stage.DECODE: 0.5, Stage.NONE: 0.5}
-"""Part of an engine's memory that caches, by stage; the rest is of what runs."""
+CACHE_SHARE = {Stage.PREFILL: 0.93, Stage.DECODE: 0.5, Stage.NONE: 0.5}
+"""Fraction of an engine's KV memory available as prefix cache, by stage; the rest is
+used by running requests."""
 
 HashedPart = tuple[int, int]
-"""The hash of a part's id, and its tokens."""
+"""The hash of a part's id, and the number of its tokens."""
 
 
 def hash_parts(parts: Iterable[PromptPart]) -> tuple[HashedPart, ...]:
@@ -37,10 +38,10 @@
 
 
 class EngineCache:
-    """The parts that one engine is believed to hold, least recently used first.
+    """The estimated prefix cache of one engine, least recently used parts first.
 
-    Also parts that no other request has are counted: they take memory, and by them
-    shared parts are given up.
+    Parts that occur in a single request are included, too: they take memory, and shared
+    parts are evicted for them.
     """
 
     def __init__(self) -> None:
@@ -48,14 +49,14 @@
         self._tokens = 0
 
     def note(self, part: int, tokens: int, capacity: float) -> None:
-        """Note that the engine has read a part, or used it again."""
+        """Record that the engine has prefilled a part, or used it again."""
         self._tokens += tokens - self._parts.pop(part, 0)
         self._parts[part] = tokens
         while self._tokens > capacity and len(self._parts) > 1:
             self._tokens -= self._parts.popitem(last=False)[1]
 
     def count(self, parts: Sequence[HashedPart]) -> int:
-        """Return the tokens that are held from the start without a gap."""
+        """Return the tokens of the longest cached prefix."""
         tokens = 0
         for part, size in parts:
             if part not in self._parts:
@@ -66,28 +67,28 @@
 
 @dataclass(slots=True)
 class PrefixBook:
-    """Which parts of prompts are held by which engines, as far as is known."""
+    """The estimated prefix caches of all engines."""
 
     capacity: int = 370_000
-    """Tokens that an engine holds; the configuration says it."""
+    """Tokens that fit into an engine's KV memory; set from the configuration."""
     caches: dict[str, EngineCache] = field(default_factory=dict)
 
     def note(self, engine: str, stage: Stage, parts: Iterable[HashedPart]) -> None:
-        """Note that an engine has read or copied these parts."""
+        """Record that an engine has prefilled or copied these parts."""
         cache = self.caches.get(engine)
         if cache is None:
             cache = self.caches[engine] = EngineCache()
-        capacity = self.capacity * HELD_SHARE[stage]
+        capacity = self.capacity * CACHE_SHARE[stage]
         for part, tokens in parts:
             cache.note(part, tokens, capacity)
 
     def count_cached(self, engine: str, parts: Sequence[HashedPart]) -> int:
-        """Return the tokens that the engine is believed to hold from the start."""
+        """Return the tokens of the longest prefix expected in the engine's cache."""
         cache = self.caches.get(engine)
         return 0 if cache is None else cache.count(parts)
 
     def holds(self, engine: str, parts: Sequence[HashedPart]) -> bool:
-        """Return whether the engine is believed to hold a whole prompt."""
+        """Return whether the whole prompt is expected in the engine's cache."""
         return self.count_cached(engine, parts) == sum(tokens for _, tokens in parts)
 
 
@@ -96,7 +97,7 @@
     """The work that this process has outstanding at one engine."""
 
     seconds: list[float] = field(default_factory=make_ranks)
-    """Expected reading of the prompts that aren't read yet, by their rank."""
+    """Expected seconds of outstanding prefill, by rank."""
     running: int = 0
 
 
@@ -115,23 +116,23 @@
         return work
 
     def sum_seconds(self, id: str, rank: int = LOWEST_RANK) -> float:
-        """Return the reading at an engine that goes before a new one of a rank."""
+        """Return the outstanding prefill that precedes a new prompt of a rank."""
         own = sum(self.get(id).seconds[: rank + 1])
         return own + self.peers.get_read_seconds(id, rank)
 
     def sum_running(self, id: str) -> int:
-        """Return the generations that run at an engine."""
+        """Return the number of answers being decoded on an engine."""
         return self.get(id).running + self.peers.get_running(id)
 
 
 @dataclass(frozen=True, slots=True)
 class EngineBooks:
-    """What a placement is decided from."""
+    """The state from which placements are decided."""
 
     loads: LoadBook
     works: WorkBook
     prefixes: PrefixBook
     models: EngineModels
     pauses: dict[str, timedelta] = field(default_factory=dict)
-    """Shortest of the longest pauses that routes allow, by service."""
+    """The strictest limit on pauses among the routes of each service."""
     limits: LimitBook = field(default_factory=LimitBook)
--- a/packages/mustardquay/src/mustardquay/engine_models.py
+++ b/packages/mustardquay/src/mustardquay/engine_models.py
@@ -1,9 +1,10 @@
-"""Engine models: how fast engines read and generate, learned from their answers.
+"""Engine models: prefill and decode speeds of engines, learned from their answers.
 
-Nothing here is stated of one kind of engine. All engines of a service share the
-coefficients, so that a few answers of any of them tell of all; each has one factor
-against them, which shows the one that is slow. Before the first answer the priors
-hold; a gateway that starts among others takes theirs (`hear`).
+The models make no assumptions about a particular type of engine. All engines of a
+service share their coefficients, so that a few answers of any engine train the model
+for all; each engine has one factor relative to them, which identifies a slow one.
+Priors apply before the first answer; a gateway that starts beside others takes over
+their coefficients (`hear`).
 """
 
 from collections.abc import Iterable
@@ -16,90 +17,93 @@
 
 __all__ = ["READ_SCALES", "STREAM_SCALES", "EngineModels", "PoolSpeeds", "Reading"]
 
-GENERATING_SLOWDOWN = 2.0
-"""How many times longer an engine that generates takes to read a prompt: a law of the
+DECODER_SLOWDOWN = 2.0
+"""How many times longer a decode engine takes to prefill a prompt: a rule of the
 platform's engines, whatever their speed."""
 PRIOR_FIXED = 0.005
-"""Seconds of a reading of nothing before any was seen: some ways through a network."""
-MOST_FIXED = 0.03
-"""Most seconds that a reading of nothing is taken to need: more is a queue that was not
-known of, and would have all prompts read by engines that generate."""
+"""Prior for the fixed seconds of a prefill: a few network round trips."""
+MAX_FIXED = 0.03
+"""Upper bound for the fixed seconds of a prefill: a larger value is caused by an
+unknown queue, and would move all prefill to the decode engines."""
 PRIOR_TOKEN = 1e-5
-"""Seconds for each token before any reading was seen: between the engines known so far
-(4 and 21 microseconds). Half of the truth or twice as much misplaces the first dozen
-prompts of a gateway that has no peer to ask."""
+"""Prior for the seconds per token: between the engines known so far (4 and 21
+microseconds). A prior of half or twice the true value misplaces the first dozen prompts
+of a gateway without peers."""
 PRIOR_PAIR = 2e-10
-"""Seconds for each pair of a new token and one before it, as above."""
+"""Prior for the seconds per pair of a new token and an earlier one, as above."""
 PRIOR_COPIED = 1e-6
-"""Seconds for each token copied between engines, where the operator says nothing."""
+"""Seconds per token copied between engines when the operator declares none."""
 PRIOR_STEP = 0.002
-"""Seconds of a step of generation before one was seen."""
+"""Prior for the seconds of a decode step."""
 PRIOR_STREAM = 0.00003
-"""Seconds that each other stream makes a step longer before one was seen."""
+"""Prior for the seconds by which each other stream lengthens a decode step."""
 READ_SCALES = (1.0, 4_000.0, 2e7, 4_000.0)
-"""Usual sizes of the features of a reading: once, tokens, pairs, copied tokens."""
-READ_STRENGTHS = (1.0, 0.2, 0.2, 0.5)
-"""How well the priors of a reading are known: the network's way well, the engine's
-speed hardly."""
+"""Typical sizes of the prefill features: constant, tokens, pairs, copied tokens."""
+PREFILL_STRENGTHS = (1.0, 0.2, 0.2, 0.5)
+"""Relative confidence in the prefill priors: high for the network, low for the engine's
+speed."""
 STREAM_SCALES = (1.0, 16.0)
 STREAM_STRENGTHS = (0.2, 0.2)
-"""The same for streams: a step is as unknown as the engine's speed."""
+"""The same for streams: the length of a step is as uncertain as the engine's speed."""
 FACTOR_WEIGHT = 0.15
-"""Weight of the newest answer in the factor of an engine that is faster than was
-thought, so that some six answers show it."""
+"""Weight of the newest answer in the factor of an engine that was faster than expected;
+the factor follows within about six answers."""
 FACTOR_WEIGHT_ABOVE = 0.06
-"""The same where the answer was later than expected, as a queue may be the cause."""
+"""The same for an answer that was slower than expected, as a queue may be the cause."""
 FACTOR_BOUND = log(8.0)
-"""An engine counts as at most eight times as fast or slow as the others: one that is
-slower still gets no work as it is."""
+"""An engine counts as at most eight times faster or slower than the others: a slower
+one gets no work at this factor already."""
 FACTOR_HALF_LIFE = timedelta(seconds=10)
-"""Time in which half of what an engine's factor differs from 1 is forgotten, so that an
-engine that was slow and got no work since is tried again."""
+"""Time in which the deviation of an engine's factor from 1 is halved, so that a slow
+engine which has had no work since is tried again."""
 USUAL_WEIGHT = 0.05
-"""Weight of the newest in the mean of readings."""
-LEAST_SURENESS = 0.04
-"""Sureness below which a measurement is left out: its wait was five times its reading,
-so that it tells of the queue."""
-PEER_SAMPLES = 8.0
-"""Measurements from which a peer tells its speeds."""
-PEER_RATIO = 3.0
-"""A gateway with so many times fewer measurements than a peer takes the peer's speeds
-in place of its own. Guards against one that learned from a handful of readings behind
-unseen queues: it placed all work where nothing corrected it, for the rest of a day."""
-PEER_TRUST = 20.0
-"""Weight of a peer's speeds: some twenty measurements of its own replace them."""
+"""Weight of the newest value in the mean of the expected prefill times."""
+MIN_CONFIDENCE = 0.04
+"""Confidence below which a measurement is ignored: at a wait of five times the prefill
+it measures the queue."""
+MIN_PEER_SAMPLES = 8.0
+"""Measurements from which a gateway shares its coefficients with its peers."""
+MIN_PEER_RATIO = 3.0
+"""A gateway with fewer measurements than a peer by this factor takes over the peer's
+coefficients. Guards against a gateway that learned from a few prefills behind unknown
+queues: it placed all work where no measurement corrected the model, for the rest of a
+day."""
+PEER_WEIGHT = 20.0
+"""Weight of a peer's coefficients: about twenty measurements of its own replace
+them."""
 PEER_INTERVAL = timedelta(seconds=2)
-"""Time between two such replacements, in which own measurements can show otherwise."""
+"""Minimum time between two such replacements, in which the gateway's own measurements
+can correct the coefficients."""
 
 
 @dataclass(frozen=True, slots=True)
 class Reading:
-    """What an engine does to read one prompt."""
+    """The work of an engine to prefill one prompt."""
 
     new: int
-    """Tokens that it reads."""
+    """Tokens to compute."""
     cached: int = 0
-    """Tokens before them that it has or copies."""
+    """Tokens before them that are cached or copied."""
     copied: int = 0
-    """Tokens that it first copies from another engine."""
+    """Tokens that are first copied from another engine."""
 
     @property
     def features(self) -> tuple[float, float, float, float]:
-        """Return the features of the model: once, tokens, pairs, copied tokens."""
+        """Return the features of the model: constant, tokens, pairs, copied tokens."""
         pairs = self.new * (self.cached + self.new / 2)
         return (1.0, float(self.new), float(pairs), float(self.copied))
 
 
 @dataclass(frozen=True, slots=True)
 class PoolSpeeds:
-    """What one gateway tells of the engines of a service."""
+    """The coefficients of a service's engines that a gateway shares with its peers."""
 
     service: str
     samples: float
     read: tuple[float, ...]
-    """Seconds: once, per token, per pair, per copied token."""
+    """Seconds: constant, per token, per pair, per copied token."""
     first: tuple[float, ...]
-    """Seconds to the first event: once, per stream."""
+    """Seconds to the first event: constant, per stream."""
 
 
 @dataclass(slots=True)
@@ -108,12 +112,12 @@
     at: timedelta = timedelta()
 
 
-def _make_read() -> DecayingFit:
+def _make_prefill_fit() -> DecayingFit:
     prior = (PRIOR_FIXED, PRIOR_TOKEN, PRIOR_PAIR, PRIOR_COPIED)
-    return DecayingFit(prior, READ_SCALES, READ_STRENGTHS)
+    return DecayingFit(prior, READ_SCALES, PREFILL_STRENGTHS)
 
 
-def _make_streams() -> DecayingFit:
+def _make_stream_fit() -> DecayingFit:
     prior = (PRIOR_STEP, PRIOR_STREAM)
     return DecayingFit(prior, STREAM_SCALES, STREAM_STRENGTHS)
 
@@ -121,20 +125,20 @@
 @dataclass(slots=True)
 class _Pool:
     factors: dict[str, _Factor] = field(default_factory=dict)
-    read: DecayingFit = field(default_factory=_make_read)
-    first: DecayingFit = field(default_factory=_make_streams)
-    pause: DecayingFit = field(default_factory=_make_streams)
+    read: DecayingFit = field(default_factory=_make_prefill_fit)
+    first: DecayingFit = field(default_factory=_make_stream_fit)
+    pause: DecayingFit = field(default_factory=_make_stream_fit)
     steps: int = 1
-    """Steps of generation between two events of a stream."""
+    """Decode steps between two events of a stream."""
     copy_seconds: float | None = None
-    """Seconds to copy a token, as the operator declares; None before it is known."""
+    """Seconds to copy a token, as declared by the operator; None until configured."""
     usual: float = 0.0
-    """Decaying mean of the expected seconds of the readings that are placed."""
+    """Exponential mean of the expected prefill seconds of placements."""
     average: float = 0.0
-    """Mean logarithm of the factors, as of `averaged_at`."""
+    """Mean logarithm of the factors at `averaged_at`."""
     averaged_at: timedelta | None = None
-    heard_at: timedelta | None = None
-    """When the speeds of a peer were taken."""
+    adopted_at: timedelta | None = None
+    """When the coefficients of a peer were last taken over."""
 
 
 @dataclass(slots=True)
@@ -144,13 +148,14 @@
     _pools: dict[str, _Pool] = field(default_factory=dict)
 
     def set_traits(self, service: str, steps: int, copy_seconds: float) -> None:
-        """Take in what the operator declares of a service's engines.
+        """Apply the operator's settings for a service's engines.
 
-        `steps` are those between two events of a stream, `copy_seconds` is the time
-        to copy a token between engines, 0 where it isn't declared.
+        `steps` is the number of decode steps between two events of a stream,
+        `copy_seconds` the time to copy a token between engines, 0 if not declared.
 
-        Only what is new sets the priors: each change of the configuration says it
-        all again, and would put the priors in place of the speeds of a peer.
+        The priors are set only when a value has changed: each change of the
+        configuration calls this again, and would otherwise replace coefficients taken
+        over from a peer by the priors.
         """
         pool = self._get_pool(service)
         if (steps, copy_seconds) == (pool.steps, pool.copy_seconds):
@@ -165,55 +170,55 @@
     def expect_read(
         self, engine: UpstreamRecord, reading: Reading, now: timedelta
     ) -> float:
-        """Return the seconds for which an engine is busy with a reading."""
+        """Return the seconds for which a prefill occupies an engine."""
         coefficients = self._get_pool(engine.service).read.coefficients
         seconds = dot(coefficients[1:], reading.features[1:])
         if engine.stage is not Stage.PREFILL:
-            seconds *= GENERATING_SLOWDOWN
+            seconds *= DECODER_SLOWDOWN
         return seconds * self.read_factor(engine, now)
 
     def note_placed(self, service: str, seconds: float) -> None:
-        """Take in the expected seconds of a reading that is placed."""
+        """Record the expected seconds of a prefill that was placed."""
         pool = self._get_pool(service)
         weight = USUAL_WEIGHT if pool.usual else 1.0
         pool.usual += weight * (seconds - pool.usual)
 
     def get_usual_read(self, service: str) -> float:
-        """Return the seconds of a usual reading, 0 before the first."""
+        """Return the mean expected seconds of a prefill, 0 before the first."""
         return self._get_pool(service).usual
 
     def expect_overhead(self, service: str) -> float:
-        """Return the seconds that a separate reading takes beside the work itself."""
-        return min(self._get_pool(service).read.coefficients[0], MOST_FIXED)
+        """Return the extra seconds of a prefill on a separate engine."""
+        return min(self._get_pool(service).read.coefficients[0], MAX_FIXED)
 
     def expect_first(self, service: str, streams: int) -> float:
-        """Return the seconds from a prompt that is read to its first event."""
+        """Return the seconds from the end of the prefill to the first event."""
         return self._get_pool(service).first.predict((1.0, float(streams)))
 
     def expect_pause(self, service: str, streams: int) -> float:
-        """Return the usual seconds between two events, with what is read between."""
+        """Return the mean seconds between two events, including prefill in between."""
         return self._get_pool(service).pause.predict((1.0, float(streams)))
 
     def expect_stream(self, service: str, tokens: int, streams: int) -> float:
-        """Return the seconds in which a stream of so many tokens is generated."""
+        """Return the seconds to decode a stream of `tokens`."""
         events = tokens / self._get_pool(service).steps
         return events * self.expect_pause(service, streams)
 
     def count_samples(self, service: str) -> float:
-        """Return the readings that count in the model, older ones for less."""
+        """Return the effective number of prefill samples; older ones count less."""
         return self._get_pool(service).read.samples
 
     def read_factor(self, engine: UpstreamRecord, now: timedelta) -> float:
-        """Return how many times longer than the others an engine takes.
+        """Return how many times longer an engine takes than the average engine.
 
-        Against the mean of all, so that what all have in common is learned as the
-        coefficients of the pool.
+        Relative to the mean of all factors, so that a change common to all engines is
+        learned by the shared coefficients.
         """
         pool = self._get_pool(engine.service)
         factor = pool.factors.get(engine.id)
         if factor is None:
             return 1.0
-        return exp(_fade(factor, now) - _average_factors(pool, now))
+        return exp(_decay_factor(factor, now) - _average_factors(pool, now))
 
     def learn_read(
         self,
@@ -224,25 +229,25 @@
         now: timedelta,
         work: float = 0.0,
     ) -> None:
-        """Take in how long a reading took that was expected to wait for `wait`.
+        """Record the duration of a prefill that was expected to wait for `wait`.
 
-        `work` is all that the engine had to read: what is under way is brought to its
-        end first, whatever its rank, so that more than `wait` may be a queue.
+        `work` is all the outstanding prefill of the engine: it finishes the prompt in
+        progress first, whatever its rank, so that the queue may be longer than `wait`.
         """
         pool = self._get_pool(engine.service)
         factor = self.read_factor(engine, now)
         expected = pool.read.predict(reading.features) * factor
-        sureness = _measure_sureness(max(wait, work), expected)
-        if sureness < LEAST_SURENESS:
+        confidence = _estimate_confidence(max(wait, work), expected)
+        if confidence < MIN_CONFIDENCE:
             return
         fixed = min(pool.read.coefficients[0] * factor, expected)
-        seconds = fixed + _split(took - fixed, wait, expected - fixed)
-        if sureness > 0.5:
+        seconds = fixed + _split_duration(took - fixed, wait, expected - fixed)
+        if confidence > 0.5:
             _learn_factor(pool, engine.id, seconds / max(expected, 1e-6), now)
-        pool.read.learn(reading.features, seconds / factor, sureness)
+        pool.read.learn(reading.features, seconds / factor, confidence)
 
     def learn_first(self, service: str, streams: int, seconds: float) -> None:
-        """Take in how long the first event took after the prompt was read."""
+        """Record the time from the end of a prefill to the first event."""
         self._get_pool(service).first.learn((1.0, float(streams)), max(seconds, 0.0))
 
     def learn_alone(
@@ -254,47 +259,48 @@
         now: timedelta,
         wait: float = 0.0,
     ) -> None:
-        """Take in how long an engine read a prompt and made its first event.
+        """Record the time of a prefill and its first event on the same engine.
 
-        It was expected to read others for `wait` before.
+        `wait` is the expected time for the prompts before it.
 
-        Tells of the one that takes most of the time, as the other is a small error.
-        Guards against a model by which nothing takes long to read: long prompts would
-        all be read by engines that generate, as if these took long for their events.
+        The sample trains whichever of the two models accounts for most of the time, as
+        the error of the other is small by comparison. Guards against a model that
+        predicts no time for prefill: decode engines would get all long prompts, and
+        their prefill time would be learned as time to the first event.
         """
         pool = self._get_pool(engine.service)
         expected = self.expect_read(engine, reading, now)
         first = pool.first.predict((1.0, float(streams)))
         if expected < first and not _is_long(pool, reading):
-            seconds = _split(seconds, wait + expected, first)
+            seconds = _split_duration(seconds, wait + expected, first)
             self.learn_first(engine.service, streams, seconds)
             return
         if not expected:
-            # Nothing else is known by which a wait could be told from the reading.
+            # Without an estimate, the wait can't be separated from the prefill.
             wait, expected = 0.0, first
-        read = _split(seconds - first, wait, expected) / GENERATING_SLOWDOWN
-        sureness = _measure_sureness(wait, expected)
+        read = _split_duration(seconds - first, wait, expected) / DECODER_SLOWDOWN
+        confidence = _estimate_confidence(wait, expected)
         factor = self.read_factor(engine, now)
-        pool.read.learn(reading.features, read / factor, sureness)
+        pool.read.learn(reading.features, read / factor, confidence)
 
     def learn_pause(self, service: str, streams: int, seconds: float) -> None:
-        """Take in a pause between two events."""
+        """Record a pause between two events."""
         self._get_pool(service).pause.learn((1.0, float(streams)), seconds)
 
     def hear(self, speeds: Iterable[PoolSpeeds], now: timedelta) -> None:
-        """Take a peer's speeds where it has seen far more than this gateway."""
+        """Take over a peer's coefficients if it has far more samples."""
         for each in speeds:
             pool = self._get_pool(each.service)
-            if each.samples < max(PEER_SAMPLES, PEER_RATIO * pool.read.samples):
+            if each.samples < max(MIN_PEER_SAMPLES, MIN_PEER_RATIO * pool.read.samples):
                 continue
-            if pool.heard_at is not None and now - pool.heard_at < PEER_INTERVAL:
+            if pool.adopted_at is not None and now - pool.adopted_at < PEER_INTERVAL:
                 continue
-            pool.heard_at = now
-            pool.read.restart(each.read, PEER_TRUST)
-            pool.first.restart(each.first, PEER_TRUST)
+            pool.adopted_at = now
+            pool.read.restart(each.read, PEER_WEIGHT)
+            pool.first.restart(each.first, PEER_WEIGHT)
 
     def tell(self) -> tuple[PoolSpeeds, ...]:
-        """Return what the other gateways are told."""
+        """Return the coefficients to share with the other gateways."""
         return tuple(
             PoolSpeeds(
                 service,
@@ -303,11 +309,11 @@
                 pool.first.coefficients,
             )
             for service, pool in self._pools.items()
-            if pool.read.samples >= PEER_SAMPLES
+            if pool.read.samples >= MIN_PEER_SAMPLES
         )
 
     def forget(self, id: str) -> None:
-        """Drop the factor of an engine that is gone or has started anew."""
+        """Drop the factor of an engine that was removed or restarted."""
         for pool in self._pools.values():
             pool.factors.pop(id, None)
             pool.averaged_at = None
@@ -319,31 +325,31 @@
         return pool
 
 
-def _measure_sureness(wait: float, expected: float) -> float:
-    """Return how sure a time tells of a reading and not of the wait before it."""
+def _estimate_confidence(wait: float, expected: float) -> float:
+    """Return the confidence that a time measures the prefill and not its queue."""
     return 1 / (1 + (wait / max(expected, 1e-6)) ** 2)
 
 
-def _split(seconds: float, wait: float, read: float) -> float:
-    """Return the part of a time that a reading took, by what was expected of both.
+def _split_duration(seconds: float, wait: float, read: float) -> float:
+    """Return the part of a duration that the prefill took, by the expected ratio.
 
-    The wait is made of readings, too: where all are faster or slower than expected,
-    both are. Guards against speeds that fall to nothing in a queue: with the expected
-    wait taken off as it is, a wait that is thought too long by the length of one
-    reading shows a reading that takes no time.
+    The wait consists of prefills, too: where all are faster or slower than expected,
+    both parts are. Guards against speeds that converge to zero in a queue: if the
+    expected wait were subtracted, overestimating it by one prefill would result in a
+    prefill that takes no time.
     """
     return max(seconds, 0.0) * read / max(wait + read, 1e-6)
 
 
 def _is_long(pool: _Pool, reading: Reading) -> bool:
-    """Return whether a reading takes longer than a first event by the priors."""
-    read = GENERATING_SLOWDOWN * dot(pool.read.prior, reading.features)
+    """Return whether a prefill takes longer than a first event by the priors."""
+    read = DECODER_SLOWDOWN * dot(pool.read.prior, reading.features)
     return read > dot(pool.first.prior, (1.0, 0.0))
 
 
 def _learn_factor(pool: _Pool, id: str, ratio: float, now: timedelta) -> None:
     factor = pool.factors.setdefault(id, _Factor(at=now))
-    value = _fade(factor, now)
+    value = _decay_factor(factor, now)
     error = max(min(log(max(ratio, 1e-3)), FACTOR_BOUND), -FACTOR_BOUND)
     weight = FACTOR_WEIGHT if error < 0 else FACTOR_WEIGHT_ABOVE
     value = max(min(value + weight * error, FACTOR_BOUND), -FACTOR_BOUND)
@@ -354,15 +360,15 @@
 def _average_factors(pool: _Pool, now: timedelta) -> float:
     """Return the mean logarithm of the factors.
 
-    Summed up once for each moment: a placement asks for every engine at the same one,
-    and would otherwise go over all engines for each of them.
+    Cached per instant: a placement asks for all engines at the same instant, and would
+    otherwise compute the mean over all engines for each of them.
     """
     if pool.averaged_at != now:
-        faded = [_fade(each, now) for each in pool.factors.values()]
+        faded = [_decay_factor(each, now) for each in pool.factors.values()]
         pool.average = sum(faded) / len(faded)
         pool.averaged_at = now
     return pool.average
 
 
-def _fade(factor: _Factor, now: timedelta) -> float:
+def _decay_factor(factor: _Factor, now: timedelta) -> float:
     return factor.logarithm * 0.5 ** ((now - factor.at) / FACTOR_HALF_LIFE)
--- a/packages/mustardquay/src/mustardquay/engine_samples.py
+++ b/packages/mustardquay/src/mustardquay/engine_samples.py
@@ -1,4 +1,4 @@
-"""Engine samples: which of the engines that read are weighed for one prompt."""
+"""Engine samples: which prefill engines are compared for one prompt."""
 
 from collections.abc import Callable, Sequence
 from math import ceil
@@ -8,11 +8,11 @@
 
 __all__ = ["Sample", "keep_all", "make_sample"]
 
-LEAST_CHOICES = 2
-"""Engines at random that are weighed to read, at least."""
+MIN_CHOICES = 2
+"""Minimum number of prefill engines drawn at random."""
 
 Sample = Callable[[Sequence[UpstreamRecord]], Sequence[UpstreamRecord]]
-"""Chooses some of the engines that read."""
+"""Selects some of the prefill engines."""
 
 
 def keep_all(engines: Sequence[UpstreamRecord]) -> Sequence[UpstreamRecord]:
@@ -21,16 +21,17 @@
 
 
 def make_sample(random: Random, processes: int) -> Sample:
-    """Return a choice of engines for one of so many processes that choose.
+    """Return a random selection for one of `processes` processes that choose.
 
-    Guards against processes that all send to the same engine, the one with the least
-    work by news that are older than what has been sent since. Two at random are nearly
-    as good as all where news are fresh, and better where they are old (Mitzenmacher,
-    "How useful is old information?", 2000); one process alone knows all.
+    Guards against all processes sending to the same engine, which had the least work
+    according to reports older than what has been sent since. Comparing two random
+    engines is nearly as good as comparing all with current reports, and better with old
+    ones (Mitzenmacher, "How useful is old information?", 2000). A single process has
+    exact data and compares all engines.
     """
 
     def sample(engines: Sequence[UpstreamRecord]) -> Sequence[UpstreamRecord]:
-        size = max(LEAST_CHOICES, ceil(len(engines) / max(processes, 1)))
+        size = max(MIN_CHOICES, ceil(len(engines) / max(processes, 1)))
         return engines if size >= len(engines) else random.sample(engines, size)
 
     return sample
--- a/packages/mustardquay/src/mustardquay/placements.py
+++ b/packages/mustardquay/src/mustardquay/placements.py
@@ -1,11 +1,12 @@
-"""Placements: which engine reads a prompt, and which one generates.
-
-Answers the load of long prompts with short answers beside short prompts with long
-answers, on engines whose caches together hold only a part of the shared prompts. The
-engine with the earliest expected first token wins: the work ahead, the tokens that it
-does not hold, its speed at reading. Of engines that expect the same, rendezvous
-hashing (Thaler and Ravishankar, 1998) names one, so that a part that nobody holds yet
-is read at one place although several processes choose at the same moment.
+"""Placements: which engine prefills a prompt, and which one decodes the answer.
+
+Designed for a mix of long prompts with short answers and short prompts with long
+answers, on engines whose prefix caches together hold only a part of the shared prompts.
+The engine with the earliest expected first token is chosen, from its outstanding work,
+the tokens that it lacks in its cache and its prefill speed. Among engines with equal
+estimates, rendezvous hashing (Thaler and Ravishankar, 1998) selects one, so that a part
+which no engine has cached yet is prefilled on a single engine although several
+processes choose at the same moment.
 """
 
 from collections.abc import Iterable, Sequence
@@ -23,75 +24,80 @@
 __all__ = ["Placement", "choose_decoder", "choose_engines"]
 
 PAUSE_SHARE = 0.45
-"""Part of the longest pause that a route allows which reading beside streams may fill.
-The rest is for what other gateways send to the engine at the same moment."""
+"""Fraction of the longest pause allowed by a route that prefill on an engine with
+running streams may take. The rest is reserved for requests which other gateways send to
+the engine at the same moment."""
 SHORT_SHARE = 0.09
-"""Part of the longest pause that reading may always fill, so that short prompts go to
-the streams' engines although those are late. A share of what the route allows, not of
-the pauses that are seen: reading makes these longer, which would admit more reading."""
-STREAM_HARM = 0.5
-"""Part of the reading at an engine that generates which counts again for each of its
-streams, as all of them wait for it."""
-DISPLACED_SHARE = 0.3
-"""Part of the reading that a copy saves which counts as its cost: the copy displaces
-other parts, of which some are asked for again."""
-FAVOUR_SHARE = 0.1
-"""Part of the reading of a prompt's shared parts by which the rendezvous choice goes
-before other engines, so that parts gather in one place."""
-SLOW_SENDING = timedelta(milliseconds=20)
-"""Time to leave the process from which a long prompt may be sent once, as its second
-sending would delay what is behind it on the link."""
+"""Fraction of the longest pause that prefill may always take, so that short prompts go
+to decode engines even when their streams are late. Relative to the pause that the route
+allows and not to the measured pauses: prefill lengthens these, which would admit even
+more prefill."""
+STREAM_DELAY_SHARE = 0.5
+"""Fraction of the prefill time on a decode engine that is added to the cost once for
+each of its streams, as prefill delays all of them."""
+EVICTION_SHARE = 0.3
+"""Fraction of the prefill time saved by a copy that is charged as its cost: the copy
+evicts other parts, some of which are requested again."""
+AFFINITY_SHARE = 0.1
+"""Fraction of the prefill time of a prompt's shared parts by which the engine selected
+by rendezvous hashing is preferred, so that requests with the same prefix share a
+cache."""
+SLOW_SEND_TIME = timedelta(milliseconds=20)
+"""Send time from which a long prompt is preferably sent only once, as sending it to a
+second engine would delay the requests behind it on the link."""
 FAILURE_SECONDS = 0.2
-"""What a send to an engine that always fails is taken to cost."""
+"""Cost of an engine with a failure rate of 1."""
 
 
 @dataclass(frozen=True, slots=True)
 class Placement:
-    """Where a generation goes."""
+    """The engines chosen for a generation, with the estimates behind the choice."""
 
     decoder: UpstreamRecord
     prefiller: UpstreamRecord | None
-    """Reads the prompt first; None when the decoder reads it itself."""
+    """Prefills the prompt; None when the decoder does so itself."""
     holder: UpstreamRecord | None
-    """Another engine, from which the reader first copies the parts that it lacks."""
+    """Another engine, from whose cache the reader first copies the parts that it
+    lacks."""
     read_seconds: float
-    """Expected reading at the engine that reads."""
+    """Expected prefill time on the reader."""
     wait_seconds: float
-    """Expected time until it begins to read."""
+    """Expected queueing time before the prefill begins."""
     occupancy: float
-    """Part of the decoder's places that are taken."""
+    """Fraction of the decoder's slots in use."""
     first_seconds: float
-    """Expected time from the prompt that is read to the first event."""
+    """Expected time from the end of the prefill to the first event."""
     cost: float
-    """Seconds: the wait, the reading, and what it does to others."""
+    """Seconds: queueing, prefill and the delay caused to other requests."""
     reading: Reading = Reading(0)
-    """What the engine that reads does."""
+    """Tokens to compute, cached and copied on the reader."""
     work_seconds: float = 0.0
-    """All that it had to read, also what goes behind this prompt."""
+    """Total outstanding prefill on the reader, including work ranked behind this
+    prompt."""
     usual_seconds: float = 0.0
-    """Expected reading of a usual prompt."""
+    """Expected prefill time of an average prompt."""
     stream_seconds: float = 0.0
-    """Expected time from the first event to the longest end that is allowed."""
+    """Expected time from the first event to the end of the longest answer allowed."""
     reader_turn: float = 0.0
-    """Seconds until its rate limit lets the engine that reads be sent to."""
+    """Seconds until the rate limit of the reader allows another request."""
     decoder_turn: float = 0.0
-    """The same for the engine that generates, where another one reads."""
+    """The same for the decoder; 0 when it prefills the prompt itself."""
 
     @property
     def reader(self) -> UpstreamRecord:
-        """Return the engine that reads the prompt."""
+        """Return the engine that prefills the prompt."""
         return self.prefiller or self.decoder
 
     @property
     def reader_occupancy(self) -> float:
-        """Return the part of the reader's places that its work takes."""
+        """Return the fraction of the reader's slots that its outstanding work takes."""
         if not self.usual_seconds:
             return 0.0
         return self.work_seconds / self.usual_seconds / max(self.reader.slots, 1)
 
     @property
     def turn_seconds(self) -> float:
-        """Return the seconds by which rate limits hold the generation up."""
+        """Return the delay caused by rate limits, in seconds."""
         begun = max(self.wait_seconds, self.reader_turn)
         is_read = begun + self.read_seconds
         return begun - self.wait_seconds + max(self.decoder_turn - is_read, 0.0)
@@ -103,33 +109,33 @@
 
     @property
     def delay_seconds(self) -> float:
-        """Return the expected waiting, for other prompts and for rate limits."""
+        """Return the expected delay by queueing and by rate limits."""
         return self.wait_seconds + self.turn_seconds
 
 
 @dataclass(frozen=True, slots=True)
-class _Question:
-    """What all engines are weighed for."""
+class _Query:
+    """The inputs of one placement decision, shared by all candidate engines."""
 
     prompt: PromptTraits
     parts: Sequence[HashedPart]
     books: EngineBooks
     now: timedelta
     holder: UpstreamRecord | None
-    """The engine that is believed to hold most of the prompt."""
+    """The engine expected to have the longest cached prefix of the prompt."""
     held: int
-    """Tokens that it holds."""
+    """Tokens of that prefix."""
     rank: int
 
     def expect_wait(self, engine: UpstreamRecord) -> float:
-        """Return the seconds until an engine reads the prompt, by its rank."""
+        """Return the queueing time at an engine for a prompt of this rank."""
         return self.books.works.sum_seconds(engine.id, self.rank)
 
     def sum_work(self, engine: UpstreamRecord) -> float:
-        """Return the seconds of all that an engine has to read.
+        """Return the seconds of all outstanding prefill at an engine.
 
-        This decides where a prompt goes: one of a high rank that is put at a busy
-        engine waits for little itself and delays all others there.
+        Placement uses the total: an urgent prompt on a busy engine waits little itself
+        but delays all others there.
         """
         return self.books.works.sum_seconds(engine.id)
 
@@ -140,7 +146,7 @@
     def count_cached(self, engine: UpstreamRecord) -> int:
         return self.books.prefixes.count_cached(engine.id, self.parts)
 
-    def make_reading(self, cached: int, copied: int = 0) -> Reading:
+    def make_prefill(self, cached: int, copied: int = 0) -> Reading:
         return Reading(max(self.prompt.prompt_tokens - cached, 1), cached, copied)
 
     def expect_read(self, engine: UpstreamRecord, reading: Reading) -> float:
@@ -148,14 +154,14 @@
 
 
 @dataclass(frozen=True, slots=True)
-class _PlannedReading:
-    """How one engine would read the prompt."""
+class _PrefillPlan:
+    """The cheapest way to prefill the prompt on one engine."""
 
     reading: Reading
     holder: UpstreamRecord | None
     seconds: float
-    displaced: float
-    """Seconds that the copy costs others."""
+    eviction_cost: float
+    """Cost of the cache evictions that the copy causes, in seconds."""
 
 
 def choose_engines(
@@ -169,11 +175,11 @@
     rank: int = 0,
     sample: Sample = keep_all,
 ) -> Placement | None:
-    """Return the placement that costs least, or None without a usable engine.
+    """Return the placement with the lowest cost, or None without a usable engine.
 
-    `parts` are the hashed parts of the prompt, `sending` is how long the request takes
-    to leave this process once. Engines read it before all that has a higher `rank`.
-    `sample` chooses the engines that read which are weighed at all.
+    `parts` are the hashed parts of the prompt, `sending` is the time to send the
+    request once. Engines process it before requests with a higher `rank`. `sample`
+    selects the prefill engines to compare.
     """
     usable = _list_usable(engines, books, now, set(avoid))
     decoders = [engine for engine in usable if engine.stage is not Stage.PREFILL]
@@ -184,20 +190,20 @@
         ((books.prefixes.count_cached(each.id, parts), each) for each in usable),
         key=lambda pair: pair[0],
     )
-    question = _Question(prompt, parts, books, now, holder, held, rank)
-    alone = [_weigh_alone(engine, question) for engine in decoders]
+    query = _Query(prompt, parts, books, now, holder, held, rank)
+    singles = [_make_single(engine, query) for engine in decoders]
     if not prefillers:
-        return min(alone, key=_get_cost)
+        return min(singles, key=_get_cost)
     decoder = _pick_decoder(decoders, books, now)
-    favourite = _rank_first(parts, prefillers)
-    weighed = _sample(prefillers, favourite, holder, sample)
-    pairs = [_weigh_pair(engine, decoder, favourite, question) for engine in weighed]
+    preferred = _choose_by_hash(parts, prefillers)
+    candidates = _sample(prefillers, preferred, holder, sample)
+    pairs = [_make_pair(engine, decoder, preferred, query) for engine in candidates]
     pair = min(pairs, key=_get_cost)
-    harmless = [each for each in alone if _is_harmless(each, books)]
-    if not harmless:
+    admissible = [each for each in singles if _may_prefill(each, books)]
+    if not admissible:
         return pair
-    best = min(harmless, key=_get_cost)
-    sent_twice = sending.total_seconds() if sending >= SLOW_SENDING else 0.0
+    best = min(admissible, key=_get_cost)
+    sent_twice = sending.total_seconds() if sending >= SLOW_SEND_TIME else 0.0
     return best if best.cost < pair.cost + sent_twice else pair
 
 
@@ -207,7 +213,7 @@
     now: timedelta,
     avoid: Iterable[str] = (),
 ) -> UpstreamRecord | None:
-    """Return the engine to generate from a prompt that has been read, None if none."""
+    """Return the engine to decode from a finished prefill, or None if there is none."""
     usable = _list_usable(engines, books, now, set(avoid))
     decoders = [engine for engine in usable if engine.stage is not Stage.PREFILL]
     return _pick_decoder(decoders, books, now) if decoders else None
@@ -215,31 +221,38 @@
 
 def _sample(
     prefillers: Sequence[UpstreamRecord],
-    favourite: str,
+    preferred: str,
     holder: UpstreamRecord | None,
     sample: Sample,
 ) -> Sequence[UpstreamRecord]:
-    """Return the engines that are weighed to read: some, and those that hold parts."""
+    """Return the prefill engines to compare.
+
+    The preferred engine and the holder of the prefix are included if they prefill.
+    """
     chosen = sample(prefillers)
-    known = {engine.id for engine in chosen}
-    wanted = {favourite} | ({holder.id} if holder is not None else set())
+    chosen_ids = {engine.id for engine in chosen}
+    wanted = {preferred} | ({holder.id} if holder is not None else set())
     return [
         *chosen,
-        *(each for each in prefillers if each.id in wanted and each.id not in known),
+        *(
+            each
+            for each in prefillers
+            if each.id in wanted and each.id not in chosen_ids
+        ),
     ]
 
 
 def _pick_decoder(
     decoders: Sequence[UpstreamRecord], books: EngineBooks, now: timedelta
 ) -> UpstreamRecord:
-    return min(decoders, key=lambda engine: _weigh_decoder(engine, books, now))
+    return min(decoders, key=lambda engine: _estimate_decoder_cost(engine, books, now))
 
 
-def _is_harmless(placement: Placement, books: EngineBooks) -> bool:
-    """Tell whether an engine that generates may read the prompt itself.
+def _may_prefill(placement: Placement, books: EngineBooks) -> bool:
+    """Return whether a decode engine may prefill the prompt itself.
 
-    Guards against streams that pause for too long: between their steps the engine
-    reads, and all that it has to read may fall between two events.
+    Limits the pauses of running streams: the engine prefills between decode steps, and
+    all of its outstanding prefill may fall between two events.
     """
     engine = placement.decoder
     streams = books.works.sum_running(engine.id)
@@ -253,20 +266,20 @@
     return outstanding + placement.read_seconds <= room
 
 
-def _plan_reading(engine: UpstreamRecord, question: _Question) -> _PlannedReading:
-    """Return the cheaper of reading what an engine lacks and copying it first."""
-    cached = question.count_cached(engine)
-    alone = question.make_reading(cached)
-    seconds = question.expect_read(engine, alone)
-    if question.holder is None or question.held <= cached:
-        return _PlannedReading(alone, None, seconds, 0.0)
-    copying = question.make_reading(question.held, question.held - cached)
-    with_copy = question.expect_read(engine, copying)
-    displaced = DISPLACED_SHARE * (seconds - with_copy)
-    overhead = question.books.models.expect_overhead(engine.service)
-    if with_copy + displaced + overhead >= seconds:
-        return _PlannedReading(alone, None, seconds, 0.0)
-    return _PlannedReading(copying, question.holder, with_copy, displaced)
+def _plan_prefill(engine: UpstreamRecord, query: _Query) -> _PrefillPlan:
+    """Return the cheaper of prefill alone and prefill after copying the prefix."""
+    cached = query.count_cached(engine)
+    uncopied = query.make_prefill(cached)
+    seconds = query.expect_read(engine, uncopied)
+    if query.holder is None or query.held <= cached:
+        return _PrefillPlan(uncopied, None, seconds, 0.0)
+    copying = query.make_prefill(query.held, query.held - cached)
+    with_copy = query.expect_read(engine, copying)
+    eviction_cost = EVICTION_SHARE * (seconds - with_copy)
+    overhead = query.books.models.expect_overhead(engine.service)
+    if with_copy + eviction_cost + overhead >= seconds:
+        return _PrefillPlan(uncopied, None, seconds, 0.0)
+    return _PrefillPlan(copying, query.holder, with_copy, eviction_cost)
 
 
 def _list_usable(
@@ -275,10 +288,11 @@
     now: timedelta,
     avoided: set[str],
 ) -> list[UpstreamRecord]:
-    """Return the engines that may be chosen, ejected ones only for want of others.
+    """Return the candidate engines; ejected ones only if no others are left.
 
-    One that has been out of reach for long is tried by a request now and then; all
-    the others would wait for a connection in vain.
+    Engines that have been unreachable for longer than the threshold are left out, so
+    that requests don't wait for connections that will fail. Only occasional requests
+    probe them.
     """
     usable = [engine for engine in engines if engine.id not in avoided]
     healthy = [
@@ -293,8 +307,10 @@
     return placement.cost
 
 
-def _rank_first(parts: Sequence[HashedPart], engines: Sequence[UpstreamRecord]) -> str:
-    """Return the rendezvous choice of the longest shared prefix."""
+def _choose_by_hash(
+    parts: Sequence[HashedPart], engines: Sequence[UpstreamRecord]
+) -> str:
+    """Return the engine selected by rendezvous hashing of the longest shared prefix."""
     shared = parts[:-1]
     if not shared:
         return ""
@@ -305,71 +321,73 @@
     ).id
 
 
-def _weigh_alone(engine: UpstreamRecord, question: _Question) -> Placement:
-    placement = _place(engine, None, question)
-    running = question.books.works.sum_running(engine.id)
-    harm = STREAM_HARM * running * placement.read_seconds
-    return replace(placement, cost=placement.cost + harm)
+def _make_single(engine: UpstreamRecord, query: _Query) -> Placement:
+    placement = _make_placement(engine, None, query)
+    running = query.books.works.sum_running(engine.id)
+    delay = STREAM_DELAY_SHARE * running * placement.read_seconds
+    return replace(placement, cost=placement.cost + delay)
 
 
-def _weigh_pair(
+def _make_pair(
     engine: UpstreamRecord,
     decoder: UpstreamRecord,
-    favourite: str,
-    question: _Question,
+    preferred: str,
+    query: _Query,
 ) -> Placement:
-    placement = _place(decoder, engine, question)
-    books = question.books
+    placement = _make_placement(decoder, engine, query)
+    books = query.books
     extra = books.models.expect_overhead(engine.service)
-    extra += _penalty(decoder, books, question.now)
-    if engine.id != favourite:
-        shared = sum(tokens for _, tokens in question.parts[:-1])
-        extra += FAVOUR_SHARE * question.expect_read(engine, Reading(shared))
+    extra += _failure_cost(decoder, books, query.now)
+    if engine.id != preferred:
+        shared = sum(tokens for _, tokens in query.parts[:-1])
+        extra += AFFINITY_SHARE * query.expect_read(engine, Reading(shared))
     return replace(placement, cost=placement.cost + extra)
 
 
-def _place(
-    decoder: UpstreamRecord, prefiller: UpstreamRecord | None, question: _Question
+def _make_placement(
+    decoder: UpstreamRecord, prefiller: UpstreamRecord | None, query: _Query
 ) -> Placement:
-    """Return a placement with the cost that both kinds have: work, reading, start."""
-    books = question.books
+    """Return a placement with the cost terms that both kinds of placement share."""
+    books = query.books
     reader = prefiller or decoder
-    planned = _plan_reading(reader, question)
-    work = question.sum_work(reader)
+    planned = _plan_prefill(reader, query)
+    work = query.sum_work(reader)
     running = books.works.sum_running(decoder.id)
     first = books.models.expect_first(decoder.service, running)
-    reader_turn = books.limits.expect_wait(reader, question.now)
+    reader_turn = books.limits.expect_wait(reader, query.now)
     decoder_turn = 0.0
     if prefiller is not None:
-        decoder_turn = books.limits.expect_wait(decoder, question.now)
-    cost = max(work, reader_turn) + planned.seconds + planned.displaced + first
+        decoder_turn = books.limits.expect_wait(decoder, query.now)
+    cost = max(work, reader_turn) + planned.seconds + planned.eviction_cost + first
     cost = max(cost, decoder_turn + first)
     return Placement(
         decoder=decoder,
         prefiller=prefiller,
         holder=planned.holder,
         read_seconds=planned.seconds,
-        wait_seconds=question.expect_wait(reader),
+        wait_seconds=query.expect_wait(reader),
         occupancy=running / max(decoder.slots, 1),
         first_seconds=first,
-        cost=cost + _penalty(reader, books, question.now),
+        cost=cost + _failure_cost(reader, books, query.now),
         reading=planned.reading,
         work_seconds=work,
         usual_seconds=books.models.get_usual_read(reader.service),
-        stream_seconds=question.expect_stream(decoder, running),
+        stream_seconds=query.expect_stream(decoder, running),
         reader_turn=reader_turn,
         decoder_turn=decoder_turn,
     )
 
 
-def _weigh_decoder(engine: UpstreamRecord, books: EngineBooks, now: timedelta) -> float:
+def _estimate_decoder_cost(
+    engine: UpstreamRecord, books: EngineBooks, now: timedelta
+) -> float:
     running = books.works.sum_running(engine.id)
     wait = books.works.sum_seconds(engine.id)
     wait = max(wait, books.limits.expect_wait(engine, now))
     first = books.models.expect_first(engine.service, running)
-    return wait + first + _penalty(engine, books, now)
+    return wait + first + _failure_cost(engine, books, now)
 
 
-def _penalty(engine: UpstreamRecord, books: EngineBooks, now: timedelta) -> float:
-    """Return the seconds that failures of an engine weigh."""
+def _failure_cost(engine: UpstreamRecord, books: EngineBooks, now: timedelta) -> float:
+    """Return the cost of an engine's recent failures, in seconds."""
     return FAILURE_SECONDS * books.loads.read_failure_rate(engine.id, now)
