--- a/packages/mustardquay-node/src/mustardquay_node/digest_frames.py
+++ b/packages/mustardquay-node/src/mustardquay_node/digest_frames.py
@@ -7,8 +7,8 @@
 
 import capnp
 
-from mustardquay.engine_models import READ_SCALES, STREAM_SCALES, PoolSpeeds
-from mustardquay.peer_books import (
+from mustardquay.engine_models import PREFILL_SCALES, STREAM_SCALES, PoolSpeeds
+from mustardquay.peer_digests import (
     LOWEST_RANK,
     MICROSECONDS,
     EngineDigest,
@@ -82,7 +82,7 @@
         {
             rank
             for each in engines
-            for rank, seconds in enumerate(each.read_seconds)
+            for rank, seconds in enumerate(each.prefill_seconds)
             if seconds
         }
     )
@@ -95,9 +95,9 @@
 
 
 def _to_microseconds(work: EngineDigest, rank: int) -> int:
-    if rank >= len(work.read_seconds):
+    if rank >= len(work.prefill_seconds):
         return 0
-    return min(int(work.read_seconds[rank] * MICROSECONDS), MOST_MICROSECONDS)
+    return min(int(work.prefill_seconds[rank] * MICROSECONDS), MOST_MICROSECONDS)
 
 
 def _read_work(message: Any) -> tuple[EngineDigest, ...]:
@@ -164,7 +164,7 @@
 
 def _read_speeds(built: Any) -> PoolSpeeds:
     read, first = tuple(built.read), tuple(built.first)
-    if len(read) != len(READ_SCALES) or len(first) != len(STREAM_SCALES):
+    if len(read) != len(PREFILL_SCALES) or len(first) != len(STREAM_SCALES):
         raise ValueError("The speeds are those of another version; upgrade it.")
     return PoolSpeeds(built.service, built.samples, read, first)
 
--- a/packages/mustardquay-node/src/mustardquay_node/digests.py
+++ b/packages/mustardquay-node/src/mustardquay_node/digests.py
@@ -4,7 +4,7 @@
 from dataclasses import dataclass, replace
 
 from mustardquay.clocks import Clock
-from mustardquay.peer_books import PeerDigest
+from mustardquay.peer_digests import PeerDigest
 from mustardquay.rate_limits import LimitBook
 
 from .configuration_intakes import ConfigurationIntake
--- a/packages/mustardquay-node/src/mustardquay_node/forwarder_parts.py
+++ b/packages/mustardquay-node/src/mustardquay_node/forwarder_parts.py
@@ -5,15 +5,15 @@
 from datetime import timedelta
 from random import Random
 
-from mustardquay.answer_times import AnswerTimes
 from mustardquay.clocks import Clock
 from mustardquay.events import EventRing
+from mustardquay.latency_margins import LatencyMargins
 from mustardquay.rate_limits import LimitBook
 from mustardquay.route_times import RouteTimes
 from mustardquay.routing_tables import Route
 from mustardquay.sendings import Sendings
 from mustardquay.upstream_lists import UpstreamList
-from mustardquay.upstream_loads import LoadBook
+from mustardquay.upstream_loads import UpstreamLoads
 from mustardquay.version_books import TableState
 
 from .adapters import Adapter, RequestFacts
@@ -38,14 +38,14 @@
     availability_zone: str
     upstreams: UpstreamList
     pools: UpstreamPools
-    loads: LoadBook
+    loads: UpstreamLoads
     limits: LimitBook
     crashes: CrashReporter
     planner: GenerationPlanner
     stop: GatewayStop
     judge_table: Callable[[], TableState]
     times: RouteTimes = field(default_factory=RouteTimes)
-    answer_times: AnswerTimes = field(default_factory=AnswerTimes)
+    latency_margins: LatencyMargins = field(default_factory=LatencyMargins)
     count_answer: Callable[[str, str], None] = lambda route, outcome: None
     """Counts an answer by route and outcome."""
     count_send: Callable[[str, str], None] = lambda route, end: None
@@ -76,7 +76,7 @@
     upstream: str = ""
     """The upstream that was sent to last."""
     last_end: str = "unanswered"
-    """How the last send that has ended did, a value of `SendEnd`."""
+    """How the last send that has ended did, a value of `SendResult`."""
     was_cut_off: bool = False
     """Whether a send that may have run was ended by the limit."""
     is_late: bool = False
--- a/packages/mustardquay-node/src/mustardquay_node/forwardings.py
+++ b/packages/mustardquay-node/src/mustardquay_node/forwardings.py
@@ -11,7 +11,7 @@
 from functools import partial
 
 from mustardquay.errors import ProtocolError
-from mustardquay.requests import SendEnd
+from mustardquay.requests import SendResult
 from mustardquay.routing_tables import Repeat, RoutingTable, choose_backend
 from mustardquay.sendings import NextStep, ReadingState, count_repeats, decide_next
 from mustardquay.stops import Demand
@@ -142,7 +142,7 @@
     }
     request.begin_by = parts.stop.admit(demand)
     if request.begin_by is None:
-        reply.refuse("stopping", parts.stop.draw_return(demand.expected), **inputs)
+        reply.refuse("stopping", parts.stop.draw_retry_delay(demand.expected), **inputs)
         return False
     parts.events.record(
         "drain.taken",
@@ -188,7 +188,7 @@
             self._request.sendings.note(send.end)
             self._request.last_end = send.end.value
             self._request.sendings.events_passed = self._reply.has_begun
-            if send.end is SendEnd.ANSWERED and send.passed:
+            if send.end is SendResult.ANSWERED and send.passed:
                 self._sender.log(send, "answered")
                 self._reply.end_stream()
                 self._learn_time()
@@ -245,7 +245,7 @@
         elif request.sendings.may_have_run or request.was_cut_off:
             reply.fail(504, reason, message)
         else:
-            reply.refuse(reason, self._parts.stop.draw_return(timedelta()))
+            reply.refuse(reason, self._parts.stop.draw_retry_delay(timedelta()))
 
     def _learn_time(self) -> None:
         """Tell the books how long an answer took, or what there was of it.
@@ -254,7 +254,7 @@
         """
         request = self._request
         if request.expected is not None and request.sendings.offered <= 1:
-            self._parts.answer_times.note(
+            self._parts.latency_margins.note(
                 request.route,
                 request.expected,
                 self._reply.first_after,
@@ -347,7 +347,7 @@
 
     def _replace_step(self, send: Send) -> NextStep:
         """Return what happens where the allowance has no room for another send."""
-        if send.end is SendEnd.ANSWERED:
+        if send.end is SendResult.ANSWERED:
             return NextStep.PASS_ON
         may_have_run = self._request.sendings.may_have_run
         return NextStep.FAIL if may_have_run else NextStep.REFUSE
--- a/packages/mustardquay-node/src/mustardquay_node/gateway_stops.py
+++ b/packages/mustardquay-node/src/mustardquay_node/gateway_stops.py
@@ -8,14 +8,14 @@
 
 from mustardquay.clocks import Clock
 from mustardquay.events import EventRing
-from mustardquay.fleet_books import (
-    FleetBook,
+from mustardquay.peer_availability import (
     Member,
-    find_return,
-    is_needed,
-    is_next_to_end,
+    PeerAvailability,
+    find_retry_delay,
+    is_still_routed,
+    may_stop_early,
 )
-from mustardquay.peer_books import PeerDigest
+from mustardquay.peer_digests import PeerDigest
 from mustardquay.stops import (
     Demand,
     StopPlace,
@@ -58,7 +58,7 @@
 
     def __init__(self, parts: StopParts):
         self._parts = parts
-        self._fleet = FleetBook()
+        self._fleet = PeerAvailability()
         self._times: StopTimes | None = None
         self._logged = StopState.SERVING
         self._has_closed = False
@@ -84,7 +84,7 @@
 
     def hear(self, digest: PeerDigest) -> None:
         """Take in what another gateway says of itself."""
-        self._fleet.hear(digest, self._parts.clock.monotonic())
+        self._fleet.apply_digest(digest, self._parts.clock.monotonic())
 
     def admit(self, demand: Demand) -> timedelta | None:
         """Return when a request that is taken must have begun; None if refused."""
@@ -92,7 +92,7 @@
         now = self._parts.clock.monotonic()
         return admit_request(self._find_state(), self._times, now, demand)
 
-    def draw_return(self, longest: timedelta) -> timedelta:
+    def draw_retry_delay(self, longest: timedelta) -> timedelta:
         """Return when a caller that gets no answer should come back.
 
         There may be nobody to come back to for some seconds, if all gateways stop.
@@ -101,7 +101,7 @@
             return RETRY_SOON
         now = self._parts.clock.monotonic()
         members = self._fleet.list_members(now)
-        back = find_return(members, self._times.ends_at, longest, now)
+        back = find_retry_delay(members, self._times.ends_at, longest, now)
         return back + RETURN_SPREAD * self._parts.random.random()
 
     async def run(self, time_to_drain: timedelta) -> None:
@@ -135,8 +135,8 @@
 
     def _find_place(self, members: list[Member]) -> StopPlace:
         return StopPlace(
-            is_needed(self._parts.availability_zone, members),
-            is_next_to_end(self._parts.name, members),
+            is_still_routed(self._parts.availability_zone, members),
+            may_stop_early(self._parts.name, members),
         )
 
     def _enter(self, state: StopState) -> None:
--- a/packages/mustardquay-node/src/mustardquay_node/gateway_upstreams.py
+++ b/packages/mustardquay-node/src/mustardquay_node/gateway_upstreams.py
@@ -12,7 +12,7 @@
 from mustardquay.routing_tables import RoutingTable
 from mustardquay.uplinks import Uplink
 from mustardquay.upstream_lists import UpstreamList, UpstreamRecord
-from mustardquay.upstream_loads import LoadBook
+from mustardquay.upstream_loads import UpstreamLoads
 
 from .adapters import Adapter
 from .connections import Exchange
@@ -51,7 +51,7 @@
         # Connections to upstreams are most of what a gateway opens.
         self._descriptors = DescriptorGuard(parts.clock, parts.events)
         self.list = UpstreamList()
-        self.loads = LoadBook()
+        self.loads = UpstreamLoads()
         self.limits = LimitBook()
         self.crashes = CrashReporter(parts.clock, parts.events)
         self.pools = UpstreamPools(
--- a/packages/mustardquay-node/src/mustardquay_node/generators.py
+++ b/packages/mustardquay-node/src/mustardquay_node/generators.py
@@ -6,25 +6,25 @@
 from random import Random
 
 from mustardquay.clocks import Clock
-from mustardquay.engine_books import (
-    EngineBooks,
+from mustardquay.engine_models import EngineModels
+from mustardquay.engine_samples import make_sample
+from mustardquay.engine_states import (
+    EngineStates,
     HashedPart,
-    PrefixBook,
-    WorkBook,
+    OutstandingWork,
+    PrefixCaches,
     hash_parts,
 )
-from mustardquay.engine_models import EngineModels
-from mustardquay.engine_samples import make_sample
 from mustardquay.generation_limits import LATE_RANK
-from mustardquay.kept_readings import ReadingLoss, find_loss
-from mustardquay.peer_books import EngineDigest, PeerDigest, PlacedPart, trim_ranks
+from mustardquay.peer_digests import EngineDigest, PeerDigest, PlacedPart, trim_ranks
 from mustardquay.placements import Placement, choose_decoder, choose_engines
 from mustardquay.rate_limits import LimitBook, Turn
 from mustardquay.requests import PromptPart, PromptTraits
+from mustardquay.retained_prefills import PrefillLoss, find_prefill_loss
 from mustardquay.routing_tables import Route, RoutingTable
 from mustardquay.uplinks import Uplink
 from mustardquay.upstream_lists import UpstreamList, UpstreamRecord
-from mustardquay.upstream_loads import LoadBook
+from mustardquay.upstream_loads import UpstreamLoads
 
 from .adapters import Prefilled
 from .peers import PARTS_LIMIT
@@ -66,7 +66,7 @@
         self,
         clock: Clock,
         upstreams: UpstreamList,
-        loads: LoadBook,
+        loads: UpstreamLoads,
         models: EngineModels | None = None,
         uplink: Uplink | None = None,
         limits: LimitBook | None = None,
@@ -81,8 +81,8 @@
         self._uplink = uplink or Uplink()
         self._models = models or EngineModels()
         self._limits = limits or LimitBook()
-        self._books = EngineBooks(
-            loads, WorkBook(), PrefixBook(), self._models, limits=self._limits
+        self._books = EngineStates(
+            loads, OutstandingWork(), PrefixCaches(), self._models, limits=self._limits
         )
         self._placed: list[PlacedPart] = []
         self._changing: set[str] = set()
@@ -155,8 +155,8 @@
         sends = 1 if placement.prefiller is None else 2
         self._uplink.take(size * sends, self._clock.monotonic())
         reader = placement.reader.id
-        self._add_reading(reader, placement.read_seconds, rank)
-        self._models.note_placed(placement.reader.service, placement.read_seconds)
+        self._add_reading(reader, placement.prefill_seconds, rank)
+        self._models.note_placed(placement.reader.service, placement.prefill_seconds)
         parts = hash_parts(prompt.parts)
         # At once, so that the next prompts with these parts go there, too.
         self._note_parts(placement.reader, parts)
@@ -182,7 +182,7 @@
             return
         ticket.is_read = True
         placement = ticket.placement
-        self._add_reading(placement.reader.id, -placement.read_seconds, ticket.rank)
+        self._add_reading(placement.reader.id, -placement.prefill_seconds, ticket.rank)
         if is_handed_over:
             self._note_copied(ticket)
 
@@ -191,11 +191,11 @@
         reading: KeptReading,
         engines: Sequence[UpstreamRecord],
         avoid: Collection[str],
-    ) -> ReadingLoss | None:
+    ) -> PrefillLoss | None:
         """Return why no other engine can generate from a reading; None if one can."""
         now = self._clock.monotonic()
         ticket = reading.ticket
-        return find_loss(
+        return find_prefill_loss(
             ticket.placement.reader,
             ticket.parts,
             self.must_copy(reading),
@@ -212,7 +212,7 @@
         """
         reader = reading.ticket.placement.reader.id
         now = self._clock.monotonic()
-        is_lapsing = self._books.loads.has_lapsing_handles(reader, now)
+        is_lapsing = self._books.loads.has_expired_handles(reader, now)
         return reading.is_handle_used or is_lapsing
 
     def take_up(
@@ -220,7 +220,7 @@
         reading: KeptReading,
         engines: Sequence[UpstreamRecord],
         avoid: Collection[str],
-    ) -> ReadingLoss | None:
+    ) -> PrefillLoss | None:
         """Have another engine generate from a reading; returns why none can."""
         loss = self.find_loss(reading, engines, avoid)
         if loss is not None:
@@ -228,7 +228,7 @@
         old = reading.ticket
         ticket = Ticket(old.placement, old.parts, old.rank, is_read=True)
         if not self.renew_decoder(ticket, engines, avoid):
-            return ReadingLoss.NO_GENERATOR
+            return PrefillLoss.NO_GENERATOR
         self._note_copied(ticket)
         reading.ticket = ticket
         return None
@@ -267,9 +267,9 @@
 
     def hear(self, digest: PeerDigest) -> None:
         """Take in what another gateway has outstanding."""
-        if not self._books.works.peers.hear(digest, self._clock.monotonic()):
+        if not self._books.works.peers.apply_digest(digest, self._clock.monotonic()):
             return
-        self._models.hear(digest.speeds, self._clock.monotonic())
+        self._models.adopt_speeds(digest.speeds, self._clock.monotonic())
         for part in digest.placed:
             engine = self._upstreams.get(part.engine)
             if engine is not None:
@@ -278,7 +278,7 @@
 
     def note_listed(self, told: int, others: int) -> None:
         """Take in how many gateways tell this one, and how many there are besides."""
-        self._books.works.peers.unheard_ratio = others / told if told else 0.0
+        self._books.works.peers.unreported_ratio = others / told if told else 0.0
         self._sample = make_sample(self._random, 1 + told + others)
 
     def list_configurations(self) -> list[int]:
@@ -306,7 +306,7 @@
             engines,
             placed,
             tuple(sorted(self._changing)),
-            speeds=self._models.tell(),
+            speeds=self._models.export_speeds(),
         )
 
     def tell_changing(self, engines: Collection[str]) -> None:
@@ -340,7 +340,7 @@
                 service.name, engine.steps_per_event, engine.copy_seconds
             )
 
-    def learn_read(self, ticket: Ticket, took: timedelta) -> None:
+    def learn_prefill(self, ticket: Ticket, took: timedelta) -> None:
         """Take in how long another engine than the one that generates read.
 
         What came later may have gone before a late one: it tells nothing of the engine.
@@ -348,9 +348,9 @@
         if ticket.rank >= LATE_RANK:
             return
         placement = ticket.placement
-        self._models.learn_read(
+        self._models.learn_prefill(
             placement.reader,
-            placement.reading,
+            placement.prefill,
             placement.wait_seconds,
             took.total_seconds(),
             self._clock.monotonic(),
@@ -366,9 +366,9 @@
         if placement.prefiller is not None:
             self._models.learn_first(engine.service, streams, seconds)
             return
-        self._models.learn_alone(
+        self._models.learn_combined(
             engine,
-            placement.reading,
+            placement.prefill,
             streams,
             seconds,
             self._clock.monotonic(),
--- a/packages/mustardquay-node/src/mustardquay_node/handovers.py
+++ b/packages/mustardquay-node/src/mustardquay_node/handovers.py
@@ -8,15 +8,15 @@
 from mustardquay.generation_limits import (
     admits_generation,
     admits_late,
-    admits_turn,
-    draw_return,
-    has_returned,
+    admits_rate_limit_wait,
+    draw_retry_delay,
+    is_retry,
     rank_generation,
 )
-from mustardquay.kept_readings import ReadingLoss
 from mustardquay.placements import Placement
-from mustardquay.requests import PromptTraits, SendEnd
-from mustardquay.stalls import limit_first, limit_reading
+from mustardquay.requests import PromptTraits, SendResult
+from mustardquay.retained_prefills import PrefillLoss
+from mustardquay.stall_timeouts import find_first_event_timeout, find_prefill_timeout
 from mustardquay.upstream_lists import UpstreamRecord
 
 from .adapters import Prefilled
@@ -28,7 +28,7 @@
 
 __all__ = ["drop_reading", "send_generation"]
 
-NOT_TAKEN = (SendEnd.NOT_RUN, SendEnd.NOT_SENT, SendEnd.OTHER_UPSTREAM)
+NOT_TAKEN = (SendResult.NOT_RUN, SendResult.NOT_SENT, SendResult.OTHER_UPSTREAM)
 """Ends of a hand-over after which the handle is still there, as far as is known."""
 
 
@@ -50,7 +50,9 @@
             planner.end(reading.ticket)
     if request.sendings.offered:
         placement = _choose(parts, request, prompt, engines)
-        if placement is not None and not admits_turn(request.route, placement):
+        if placement is not None and not admits_rate_limit_wait(
+            request.route, placement
+        ):
             return None
     else:
         placement = _admit(parts, request, reply, prompt, engines)
@@ -70,7 +72,7 @@
         engines = parts.upstreams.list_usable(request.service)
         request.reading = KeptReading(ticket, read)
         if not planner.renew_decoder(ticket, engines, request.avoid):
-            drop_reading(parts, request, ReadingLoss.NO_GENERATOR)
+            drop_reading(parts, request, PrefillLoss.NO_GENERATOR)
             return None
         planner.end_reading(ticket, is_handed_over=True)
         return await _hand_over(parts, request, sender, request.reading)
@@ -113,7 +115,7 @@
         upstream=placement.reader.id,
         decoder=placement.decoder.id,
         reason=reason,
-        new_tokens=placement.reading.new,
+        new_tokens=placement.prefill.new,
     )
 
 
@@ -130,12 +132,12 @@
     """
     now = parts.clock.monotonic()
     time_left = request.measure_left(now)
-    request.is_late = has_returned(request.route, time_left)
+    request.is_late = is_retry(request.route, time_left)
     if not request.is_late:
         placement = _choose(parts, request, prompt, engines)
         if placement is None:
             return None
-        rest = parts.answer_times.find_rest(request.route, now)
+        rest = parts.latency_margins.find_margin(request.route, now)
         if admits_generation(request.route, placement, time_left, rest):
             request.expected = timedelta(seconds=placement.expected_seconds)
             return placement
@@ -146,12 +148,12 @@
         return None
     if admits_late(request.route, placement, time_left):
         return placement
-    back = draw_return(placement, time_left, parts.random)
+    back = draw_retry_delay(placement, time_left, parts.random)
     reply.refuse(
-        "crowded" if admits_turn(request.route, placement) else "limited",
+        "crowded" if admits_rate_limit_wait(request.route, placement) else "limited",
         back,
         wait_ms=round(placement.wait_seconds * 1000, 1),
-        turn_ms=round(placement.turn_seconds * 1000, 1),
+        turn_ms=round(placement.limit_wait_seconds * 1000, 1),
         occupancy=round(placement.occupancy, 2),
     )
     return None
@@ -175,7 +177,7 @@
     placement = ticket.placement
     await await_turn(parts, ticket.reader_turn)
     options = SendOptions(
-        patience=limit_first(request.route, placement),
+        patience=find_first_event_timeout(request.route, placement),
         fetch_from=placement.holder.address if placement.holder else "",
         read=_note_first(parts, ticket),
     )
@@ -214,23 +216,23 @@
     options = SendOptions(
         prefill_only=True,
         fetch_from=placement.holder.address if placement.holder else "",
-        patience=limit_reading(request.route, placement),
+        patience=find_prefill_timeout(request.route, placement),
     )
     send = await sender.run(placement.reader, options)
     took = parts.clock.monotonic() - started
     _log_read(parts, request, placement, took)
-    if send.end is SendEnd.ANSWERED and send.status == 200:
+    if send.end is SendResult.ANSWERED and send.status == 200:
         try:
             prefilled = parts.adapter.read_prefilled(send.content)
         except ProtocolError as error:
             send.detail = str(error)
         else:
-            parts.planner.learn_read(ticket, took)
+            parts.planner.learn_prefill(ticket, took)
             return prefilled
     # Reading a prompt does not run the request, whatever came of it.
-    if send.end is not SendEnd.CALLER_LEFT:
-        is_refused = send.end in (SendEnd.NOT_RUN, SendEnd.OTHER_UPSTREAM)
-        send.end = SendEnd.NOT_RUN if is_refused else SendEnd.UNREAD
+    if send.end is not SendResult.CALLER_LEFT:
+        is_refused = send.end in (SendResult.NOT_RUN, SendResult.OTHER_UPSTREAM)
+        send.end = SendResult.NOT_RUN if is_refused else SendResult.UNREAD
     return send
 
 
@@ -270,10 +272,10 @@
             kv_source=source, read=_note_first(parts, ticket, reading)
         )
         send = await sender.run(placement.decoder, options)
-        if send.end is not SendEnd.NOT_RUN:
+        if send.end is not SendResult.NOT_RUN:
             return send
         now = parts.clock.monotonic()
-        parts.loads.note_lapsed_handle(reader, now)
+        parts.loads.note_expired_handle(reader, now)
         sender.log(send, "copy")
         if not parts.pools.get_window(request.service).take(now):
             return send
@@ -297,14 +299,16 @@
         decoder=placement.decoder.id,
         copied_from=placement.holder.id if placement.holder else "",
         wait_ms=round(placement.wait_seconds * 1000, 1),
-        read_ms=round(placement.read_seconds * 1000, 1),
+        read_ms=round(placement.prefill_seconds * 1000, 1),
         took_ms=round(took.total_seconds() * 1000, 1),
-        new_tokens=placement.reading.new,
-        cached_tokens=placement.reading.cached,
-        copied_tokens=placement.reading.copied,
+        new_tokens=placement.prefill.new,
+        cached_tokens=placement.prefill.cached,
+        copied_tokens=placement.prefill.copied,
         late=request.is_late,
         rest_ms=round(
-            parts.answer_times.find_rest(request.route, now).total_seconds() * 1000, 1
+            parts.latency_margins.find_margin(request.route, now).total_seconds()
+            * 1000,
+            1,
         ),
         samples=round(parts.planner.count_samples(placement.reader.service), 1),
     )
--- a/packages/mustardquay-node/src/mustardquay_node/peers.capnp
+++ b/packages/mustardquay-node/src/mustardquay_node/peers.capnp
@@ -1,5 +1,5 @@
 @0xb7e21c5a9d3f4408;
-# Datagrams between gateways; mustardquay.peer_books says what they mean.
+# Datagrams between gateways; mustardquay.peer_digests says what they mean.
 
 struct Crash {
   upstream @0 :Text;
--- a/packages/mustardquay-node/src/mustardquay_node/peers.py
+++ b/packages/mustardquay-node/src/mustardquay_node/peers.py
@@ -17,7 +17,7 @@
 from mustardquay.clocks import Clock
 from mustardquay.errors import MustardquayError
 from mustardquay.events import EventRing
-from mustardquay.peer_books import PeerDigest
+from mustardquay.peer_digests import PeerDigest
 from mustardquay.tables import Transaction, Write
 
 from .adapters import StoreRow, StoreTables
--- a/packages/mustardquay-node/src/mustardquay_node/sends.py
+++ b/packages/mustardquay-node/src/mustardquay_node/sends.py
@@ -6,9 +6,9 @@
 from datetime import timedelta
 
 from mustardquay.generation_limits import rank_generation
-from mustardquay.requests import SendEnd
+from mustardquay.requests import SendResult
 from mustardquay.routing_tables import Repeat
-from mustardquay.stalls import limit_silence
+from mustardquay.stall_timeouts import find_idle_timeout
 from mustardquay.upstream_lists import UpstreamRecord
 
 from .adapters import AnswerFacts, SendTarget
@@ -42,7 +42,7 @@
     head: AnswerHead | None = None
     content: bytes = b""
     """The body, unless it was passed on as a stream."""
-    end: SendEnd = SendEnd.NOT_SENT
+    end: SendResult = SendResult.NOT_SENT
     detail: str = ""
     was_kept: bool = False
     """Whether the connection had been used before."""
@@ -98,7 +98,7 @@
         """Send to an upstream and take in or pass on what comes."""
         request = self._request
         if self._reply.is_caller_gone:
-            return Send(upstream, end=SendEnd.CALLER_LEFT)
+            return Send(upstream, end=SendResult.CALLER_LEFT)
         # The stream before may have ended in the middle of an event, and the next
         # one sends that event whole.
         self._cutter.drop_rest()
@@ -106,7 +106,7 @@
         exchange = self._make_exchange(send, options)
         request.current = exchange
         request.upstream = upstream.id
-        self._watch_silence(options.patience or limit_silence(request.route))
+        self._watch_silence(options.patience or find_idle_timeout(request.route))
         self._parts.loads.begin(upstream.id)
         end = ExchangeEnd.CANCELLED
         try:
@@ -205,7 +205,7 @@
     ) -> Awaitable[None] | None:
         """Pass on a part of a stream; other answers are kept until they are whole."""
         now = self._parts.clock.monotonic()
-        self._parts.loads.note_heard(send.upstream.id, now)
+        self._parts.loads.note_activity(send.upstream.id, now)
         if not _is_stream(send, exchange):
             exchange.keep(data)
             return None
@@ -220,7 +220,7 @@
         events = count_ends(data)
         send.events += events
         self._reply.events += events
-        self._watch_silence(limit_silence(self._request.route))
+        self._watch_silence(find_idle_timeout(self._request.route))
         if self._request.route.resumable:
             data = self._cutter.feed(data)
             self._request.last_event = self._cutter.last_id or self._request.last_event
@@ -247,7 +247,7 @@
         if current is None:
             return
         now = self._parts.clock.monotonic()
-        if self._parts.loads.is_heard(self._request.upstream, now):
+        if self._parts.loads.has_recent_activity(self._request.upstream, now):
             # It lives and is busy with others; elsewhere nothing would be sooner.
             self._watch_silence(SILENCE_STEP)
             return
@@ -269,7 +269,7 @@
         send.detail = end
         send.end = self._classify(send, exchange, end)
         self._parts.count_send(self._reply.route, send.end.value)
-        if send.end is SendEnd.ANSWERED and send.passed:
+        if send.end is SendResult.ANSWERED and send.passed:
             self._reply.write(self._cutter.take_rest())
             self._learn_pause(send)
         self._note_crash(send, end)
@@ -285,31 +285,31 @@
         pause = (send.last_at - send.first_at) / (send.events - 1)
         self._parts.planner.learn_pause(send.upstream, pause)
 
-    def _classify(self, send: Send, exchange: Exchange, end: str) -> SendEnd:
+    def _classify(self, send: Send, exchange: Exchange, end: str) -> SendResult:
         if self._reply.is_caller_gone:
-            return SendEnd.CALLER_LEFT
+            return SendResult.CALLER_LEFT
         if not exchange.was_sent:
-            return SendEnd.NOT_SENT
+            return SendResult.NOT_SENT
         if end != ExchangeEnd.WHOLE or send.facts is None:
-            return SendEnd.BROKEN
+            return SendResult.BROKEN
         if send.facts.is_other_upstream:
-            return SendEnd.OTHER_UPSTREAM
+            return SendResult.OTHER_UPSTREAM
         if send.facts.not_run:
-            return SendEnd.NOT_RUN
+            return SendResult.NOT_RUN
         if send.facts.is_encoded:
-            return SendEnd.BROKEN
+            return SendResult.BROKEN
         if self._reply.has_begun and not send.passed:
             # A failure in place of the rest of a stream, whose head the caller has.
-            return SendEnd.BROKEN
-        return SendEnd.ANSWERED
+            return SendResult.BROKEN
+        return SendResult.ANSWERED
 
     def _note_crash(self, send: Send, end: str) -> None:
         crashes = self._parts.crashes
         fingerprint = self._request.fingerprint
-        if send.end is SendEnd.BROKEN and end == ExchangeEnd.BROKEN:
+        if send.end is SendResult.BROKEN and end == ExchangeEnd.BROKEN:
             crashes.note_broken(send.upstream, fingerprint)
             self._parts.pools.probe(send.upstream)
-        elif send.end is SendEnd.ANSWERED:
+        elif send.end is SendResult.ANSWERED:
             crashes.note_answer(fingerprint)
         if end == ExchangeEnd.NOT_CONNECTED:
             crashes.note_lost(send.upstream.id)
@@ -320,9 +320,9 @@
         id = send.upstream.id
         if end == ExchangeEnd.NOT_CONNECTED:
             loads.note_unreachable(id, now)
-        elif send.end is SendEnd.ANSWERED:
+        elif send.end is SendResult.ANSWERED:
             loads.note_reached(id, now)
-        elif send.end in (SendEnd.NOT_RUN, SendEnd.OTHER_UPSTREAM):
+        elif send.end in (SendResult.NOT_RUN, SendResult.OTHER_UPSTREAM):
             # An engine that can't fetch a prompt is not to blame for it.
             if not options.kv_source:
                 loads.note_refusal(id, now)
@@ -363,6 +363,6 @@
 
 
 def _has_failed(send: Send, end: str) -> bool:
-    if end == ExchangeEnd.NOT_CONNECTED or send.end is SendEnd.BROKEN:
+    if end == ExchangeEnd.NOT_CONNECTED or send.end is SendResult.BROKEN:
         return True
-    return send.end is SendEnd.ANSWERED and send.status >= SERVER_ERRORS
+    return send.end is SendResult.ANSWERED and send.status >= SERVER_ERRORS
--- a/packages/mustardquay-node/tests/played_bursts.py
+++ b/packages/mustardquay-node/tests/played_bursts.py
@@ -12,20 +12,20 @@
 from itertools import count
 from random import Random
 
-from mustardquay.answer_times import AnswerTimes
 from mustardquay.clocks import VirtualClock
 from mustardquay.generation_limits import (
     admits_generation,
     admits_late,
-    draw_return,
-    has_returned,
+    draw_retry_delay,
+    is_retry,
     rank_generation,
 )
+from mustardquay.latency_margins import LatencyMargins
 from mustardquay.placements import Placement
 from mustardquay.requests import PromptPart, PromptTraits
 from mustardquay.routing_tables import Backend, Repeat, Route, RoutingTable
 from mustardquay.upstream_lists import Stage, UpstreamList, UpstreamRecord
-from mustardquay.upstream_loads import LoadBook
+from mustardquay.upstream_loads import UpstreamLoads
 from mustardquay_node.generators import GenerationPlanner, Ticket
 from mustardquay_node.peers import BUSY_INTERVAL, PEER_INTERVAL, list_told
 
@@ -176,7 +176,7 @@
         self._changed = [False] * burst.gateways
         self._planners = [self._make_planner(n) for n in range(burst.gateways)]
         self._told = [self._list_told(n) for n in range(burst.gateways)]
-        self._times = [AnswerTimes() for _ in self._names]
+        self._times = [LatencyMargins() for _ in self._names]
         self._numbers = [0] * burst.gateways
         self._free_at: dict[str, float] = {}
         """When each engine that generates has done so for all that it has."""
@@ -221,7 +221,7 @@
         planner = GenerationPlanner(
             self._clock,
             upstreams,
-            LoadBook(),
+            UpstreamLoads(),
             note_change=lambda: self._note_change(number),
             random=self._random,
         )
@@ -257,7 +257,7 @@
         left = ROUTE.timeout - timedelta(seconds=self._now - caller.came_at)
         if left <= timedelta():
             return
-        is_late = has_returned(ROUTE, left)
+        is_late = is_retry(ROUTE, left)
         placement = self._admit(caller, left, is_late)
         if placement is None and not is_late:
             is_late = True
@@ -282,14 +282,14 @@
             is_admitted = admits_late(ROUTE, placement, left)
         else:
             times = self._times[caller.gateway]
-            rest = times.find_rest(ROUTE, self._clock.monotonic())
+            rest = times.find_margin(ROUTE, self._clock.monotonic())
             is_admitted = admits_generation(ROUTE, placement, left, rest)
         return placement if is_admitted else None
 
     def _refuse(self, caller: Caller, left: timedelta) -> None:
         caller.refusals += 1
         if caller.refusals == 1:
-            back = draw_return(None, left, self._random)
+            back = draw_retry_delay(None, left, self._random)
             self._after(back.total_seconds(), lambda: self._ask(caller))
 
     def _queue(
@@ -325,7 +325,7 @@
     def _read(self, caller: Caller, planner: GenerationPlanner, ticket: Ticket) -> None:
         caller.read_after = self._now - caller.admitted_at
         if ticket.placement.prefiller:
-            planner.learn_read(ticket, timedelta(seconds=caller.read_after))
+            planner.learn_prefill(ticket, timedelta(seconds=caller.read_after))
             planner.end_reading(ticket, is_handed_over=True)
         else:
             planner.end_reading(ticket)
--- a/packages/mustardquay-node/tests/test_generators.py
+++ b/packages/mustardquay-node/tests/test_generators.py
@@ -3,12 +3,12 @@
 
 from mustardquay.clocks import VirtualClock
 from mustardquay.engine_models import EngineModels, PoolSpeeds
-from mustardquay.peer_books import EngineDigest, PeerDigest
+from mustardquay.peer_digests import EngineDigest, PeerDigest
 from mustardquay.requests import PromptPart, PromptTraits
 from mustardquay.routing_tables import Backend, Repeat, Route, RoutingTable
 from mustardquay.uplinks import Uplink
 from mustardquay.upstream_lists import Stage, UpstreamList, UpstreamRecord
-from mustardquay.upstream_loads import LoadBook
+from mustardquay.upstream_loads import UpstreamLoads
 from mustardquay_node.generators import GenerationPlanner
 
 PROMPT = PromptTraits("m", 9_190, 6, (PromptPart("a", 6_300), PromptPart("b", 2_890)))
@@ -43,7 +43,7 @@
 
 def make_models():
     models = EngineModels()
-    models.hear((SPEEDS,), timedelta())
+    models.adopt_speeds((SPEEDS,), timedelta())
     return models
 
 
@@ -51,7 +51,9 @@
     upstreams = UpstreamList()
     for engine in ENGINES:
         upstreams.put(engine)
-    planner = GenerationPlanner(VirtualClock(), upstreams, LoadBook(), make_models())
+    planner = GenerationPlanner(
+        VirtualClock(), upstreams, UpstreamLoads(), make_models()
+    )
     planner.take_table(TABLE)
     return planner
 
@@ -89,7 +91,7 @@
     make_busy(planner)
     ticket = planner.begin(PROMPT, planner.choose(PROMPT, ENGINES, ()))
     digest = planner.build_digest("g1", 1, 1, 7)
-    assert sum(digest.engines[0].read_seconds) > 0
+    assert sum(digest.engines[0].prefill_seconds) > 0
     assert {part.engine for part in digest.placed} == {"p"}
     other = make_planner()
     make_busy(other)
@@ -123,7 +125,7 @@
         waits.append(uplink.measure(BODY, now))
         readers[placement.reader.stage] += 1
         ticket = planner.begin(prompt, placement, BODY)
-        took = timedelta(seconds=placement.wait_seconds + placement.read_seconds)
+        took = timedelta(seconds=placement.wait_seconds + placement.prefill_seconds)
         ended.append((now + waits[-1] + took, ticket))
     return waits, readers
 
@@ -136,7 +138,7 @@
     """
     clock, uplink = VirtualClock(), Uplink(14)
     planner = GenerationPlanner(
-        clock, UpstreamList(), LoadBook(), make_models(), uplink
+        clock, UpstreamList(), UpstreamLoads(), make_models(), uplink
     )
     planner.take_table(TABLE)
     waits, readers = play_burst(planner, clock, uplink, 5, per_second=70)
@@ -148,7 +150,7 @@
 def test_a_fast_link_changes_nothing():
     clock, uplink = VirtualClock(), Uplink(100)
     planner = GenerationPlanner(
-        clock, UpstreamList(), LoadBook(), make_models(), uplink
+        clock, UpstreamList(), UpstreamLoads(), make_models(), uplink
     )
     planner.take_table(TABLE)
     _, readers = play_burst(planner, clock, uplink, 5, per_second=70)
--- a/packages/mustardquay-node/tests/test_peers.py
+++ b/packages/mustardquay-node/tests/test_peers.py
@@ -6,7 +6,7 @@
 
 from mustardquay.clocks import SystemClock
 from mustardquay.events import EventRing, HybridClock
-from mustardquay.peer_books import EngineDigest, PeerDigest, PlacedPart
+from mustardquay.peer_digests import EngineDigest, PeerDigest, PlacedPart
 from mustardquay.rate_divisions import ServiceDemand
 from mustardquay.rate_limits import LimitNotice
 from mustardquay_node import digest_frames
--- a/packages/mustardquay/src/mustardquay/caches.py
+++ b/packages/mustardquay/src/mustardquay/caches.py
@@ -130,7 +130,7 @@
             count += 1
         return count
 
-    def trust(self, upstream: str) -> float:
+    def confidence(self, upstream: str) -> float:
         """Return how far a match may be believed: 1, or less behind a gap."""
         held = self._held.get(upstream)
         if held is None or not held.unconfirmed:
@@ -141,7 +141,7 @@
     def expected_tokens(self, upstream: str, prefix: Sequence[int]) -> int:
         """Return the prompt tokens that need not be computed there."""
         count = self.match(upstream, prefix)
-        return int(count * PIECE_TOKENS * self.trust(upstream)) if count else 0
+        return int(count * PIECE_TOKENS * self.confidence(upstream)) if count else 0
 
     def forget(self, upstream: str) -> None:
         """Drop an engine that has left, restarted or lost its cache."""
--- a/packages/mustardquay/src/mustardquay/engine_models.py
+++ b/packages/mustardquay/src/mustardquay/engine_models.py
@@ -4,7 +4,7 @@
 service share their coefficients, so that a few answers of any engine train the model
 for all; each engine has one factor relative to them, which identifies a slow one.
 Priors apply before the first answer; a gateway that starts beside others takes over
-their coefficients (`hear`).
+their coefficients (`adopt_speeds`).
 """
 
 from collections.abc import Iterable
@@ -15,7 +15,7 @@
 from .decaying_fits import DecayingFit, dot
 from .upstream_lists import Stage, UpstreamRecord
 
-__all__ = ["READ_SCALES", "STREAM_SCALES", "EngineModels", "PoolSpeeds", "Reading"]
+__all__ = ["PREFILL_SCALES", "STREAM_SCALES", "EngineModels", "PoolSpeeds", "Prefill"]
 
 DECODER_SLOWDOWN = 2.0
 """How many times longer a decode engine takes to prefill a prompt: a rule of the
@@ -37,7 +37,7 @@
 """Prior for the seconds of a decode step."""
 PRIOR_STREAM = 0.00003
 """Prior for the seconds by which each other stream lengthens a decode step."""
-READ_SCALES = (1.0, 4_000.0, 2e7, 4_000.0)
+PREFILL_SCALES = (1.0, 4_000.0, 2e7, 4_000.0)
 """Typical sizes of the prefill features: constant, tokens, pairs, copied tokens."""
 PREFILL_STRENGTHS = (1.0, 0.2, 0.2, 0.5)
 """Relative confidence in the prefill priors: high for the network, low for the engine's
@@ -77,7 +77,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Reading:
+class Prefill:
     """The work of an engine to prefill one prompt."""
 
     new: int
@@ -114,7 +114,7 @@
 
 def _make_prefill_fit() -> DecayingFit:
     prior = (PRIOR_FIXED, PRIOR_TOKEN, PRIOR_PAIR, PRIOR_COPIED)
-    return DecayingFit(prior, READ_SCALES, PREFILL_STRENGTHS)
+    return DecayingFit(prior, PREFILL_SCALES, PREFILL_STRENGTHS)
 
 
 def _make_stream_fit() -> DecayingFit:
@@ -167,15 +167,15 @@
         pool.first.set_prior(streams)
         pool.pause.set_prior(streams)
 
-    def expect_read(
-        self, engine: UpstreamRecord, reading: Reading, now: timedelta
+    def expect_prefill(
+        self, engine: UpstreamRecord, prefill: Prefill, now: timedelta
     ) -> float:
         """Return the seconds for which a prefill occupies an engine."""
         coefficients = self._get_pool(engine.service).read.coefficients
-        seconds = dot(coefficients[1:], reading.features[1:])
+        seconds = dot(coefficients[1:], prefill.features[1:])
         if engine.stage is not Stage.PREFILL:
             seconds *= DECODER_SLOWDOWN
-        return seconds * self.read_factor(engine, now)
+        return seconds * self.slowdown_factor(engine, now)
 
     def note_placed(self, service: str, seconds: float) -> None:
         """Record the expected seconds of a prefill that was placed."""
@@ -183,7 +183,7 @@
         weight = USUAL_WEIGHT if pool.usual else 1.0
         pool.usual += weight * (seconds - pool.usual)
 
-    def get_usual_read(self, service: str) -> float:
+    def get_usual_prefill(self, service: str) -> float:
         """Return the mean expected seconds of a prefill, 0 before the first."""
         return self._get_pool(service).usual
 
@@ -208,7 +208,7 @@
         """Return the effective number of prefill samples; older ones count less."""
         return self._get_pool(service).read.samples
 
-    def read_factor(self, engine: UpstreamRecord, now: timedelta) -> float:
+    def slowdown_factor(self, engine: UpstreamRecord, now: timedelta) -> float:
         """Return how many times longer an engine takes than the average engine.
 
         Relative to the mean of all factors, so that a change common to all engines is
@@ -220,10 +220,10 @@
             return 1.0
         return exp(_decay_factor(factor, now) - _average_factors(pool, now))
 
-    def learn_read(
+    def learn_prefill(
         self,
         engine: UpstreamRecord,
-        reading: Reading,
+        prefill: Prefill,
         wait: float,
         took: float,
         now: timedelta,
@@ -235,8 +235,8 @@
         progress first, whatever its rank, so that the queue may be longer than `wait`.
         """
         pool = self._get_pool(engine.service)
-        factor = self.read_factor(engine, now)
-        expected = pool.read.predict(reading.features) * factor
+        factor = self.slowdown_factor(engine, now)
+        expected = pool.read.predict(prefill.features) * factor
         confidence = _estimate_confidence(max(wait, work), expected)
         if confidence < MIN_CONFIDENCE:
             return
@@ -244,16 +244,16 @@
         seconds = fixed + _split_duration(took - fixed, wait, expected - fixed)
         if confidence > 0.5:
             _learn_factor(pool, engine.id, seconds / max(expected, 1e-6), now)
-        pool.read.learn(reading.features, seconds / factor, confidence)
+        pool.read.learn(prefill.features, seconds / factor, confidence)
 
     def learn_first(self, service: str, streams: int, seconds: float) -> None:
         """Record the time from the end of a prefill to the first event."""
         self._get_pool(service).first.learn((1.0, float(streams)), max(seconds, 0.0))
 
-    def learn_alone(
+    def learn_combined(
         self,
         engine: UpstreamRecord,
-        reading: Reading,
+        prefill: Prefill,
         streams: int,
         seconds: float,
         now: timedelta,
@@ -269,9 +269,9 @@
         their prefill time would be learned as time to the first event.
         """
         pool = self._get_pool(engine.service)
-        expected = self.expect_read(engine, reading, now)
+        expected = self.expect_prefill(engine, prefill, now)
         first = pool.first.predict((1.0, float(streams)))
-        if expected < first and not _is_long(pool, reading):
+        if expected < first and not _is_long(pool, prefill):
             seconds = _split_duration(seconds, wait + expected, first)
             self.learn_first(engine.service, streams, seconds)
             return
@@ -280,14 +280,14 @@
             wait, expected = 0.0, first
         read = _split_duration(seconds - first, wait, expected) / DECODER_SLOWDOWN
         confidence = _estimate_confidence(wait, expected)
-        factor = self.read_factor(engine, now)
-        pool.read.learn(reading.features, read / factor, confidence)
+        factor = self.slowdown_factor(engine, now)
+        pool.read.learn(prefill.features, read / factor, confidence)
 
     def learn_pause(self, service: str, streams: int, seconds: float) -> None:
         """Record a pause between two events."""
         self._get_pool(service).pause.learn((1.0, float(streams)), seconds)
 
-    def hear(self, speeds: Iterable[PoolSpeeds], now: timedelta) -> None:
+    def adopt_speeds(self, speeds: Iterable[PoolSpeeds], now: timedelta) -> None:
         """Take over a peer's coefficients if it has far more samples."""
         for each in speeds:
             pool = self._get_pool(each.service)
@@ -299,7 +299,7 @@
             pool.read.restart(each.read, PEER_WEIGHT)
             pool.first.restart(each.first, PEER_WEIGHT)
 
-    def tell(self) -> tuple[PoolSpeeds, ...]:
+    def export_speeds(self) -> tuple[PoolSpeeds, ...]:
         """Return the coefficients to share with the other gateways."""
         return tuple(
             PoolSpeeds(
@@ -341,9 +341,9 @@
     return max(seconds, 0.0) * read / max(wait + read, 1e-6)
 
 
-def _is_long(pool: _Pool, reading: Reading) -> bool:
+def _is_long(pool: _Pool, prefill: Prefill) -> bool:
     """Return whether a prefill takes longer than a first event by the priors."""
-    read = DECODER_SLOWDOWN * dot(pool.read.prior, reading.features)
+    read = DECODER_SLOWDOWN * dot(pool.read.prior, prefill.features)
     return read > dot(pool.first.prior, (1.0, 0.0))
 
 
--- a/packages/mustardquay/src/mustardquay/engine_books.py
+++ b/packages/mustardquay/src/mustardquay/engine_states.py
@@ -1,4 +1,4 @@
-"""Engine books: the state of the model engines as estimated by one gateway."""
+"""Engine states: the model engines as estimated by one gateway."""
 
 from collections import OrderedDict
 from collections.abc import Iterable, Sequence
@@ -8,19 +8,19 @@
 from xxhash import xxh3_64_intdigest
 
 from .engine_models import EngineModels
-from .peer_books import LOWEST_RANK, PeerBook, make_ranks
+from .peer_digests import LOWEST_RANK, PeerDigests, make_ranks
 from .rate_limits import LimitBook
 from .requests import PromptPart
 from .upstream_lists import Stage
-from .upstream_loads import LoadBook
+from .upstream_loads import UpstreamLoads
 
 __all__ = [
-    "EngineBooks",
+    "EngineStates",
     "EngineCache",
     "EngineWork",
     "HashedPart",
-    "PrefixBook",
-    "WorkBook",
+    "PrefixCaches",
+    "OutstandingWork",
     "hash_parts",
 ]
 
@@ -66,7 +66,7 @@
 
 
 @dataclass(slots=True)
-class PrefixBook:
+class PrefixCaches:
     """The estimated prefix caches of all engines."""
 
     capacity: int = 370_000
@@ -102,10 +102,10 @@
 
 
 @dataclass(slots=True)
-class WorkBook:
+class OutstandingWork:
     """The outstanding work at each engine, of this process and of its peers."""
 
-    peers: PeerBook = field(default_factory=PeerBook)
+    peers: PeerDigests = field(default_factory=PeerDigests)
     works: dict[str, EngineWork] = field(default_factory=dict)
 
     def get(self, id: str) -> EngineWork:
@@ -118,7 +118,7 @@
     def sum_seconds(self, id: str, rank: int = LOWEST_RANK) -> float:
         """Return the outstanding prefill that precedes a new prompt of a rank."""
         own = sum(self.get(id).seconds[: rank + 1])
-        return own + self.peers.get_read_seconds(id, rank)
+        return own + self.peers.get_prefill_seconds(id, rank)
 
     def sum_running(self, id: str) -> int:
         """Return the number of answers being decoded on an engine."""
@@ -126,12 +126,12 @@
 
 
 @dataclass(frozen=True, slots=True)
-class EngineBooks:
+class EngineStates:
     """The state from which placements are decided."""
 
-    loads: LoadBook
-    works: WorkBook
-    prefixes: PrefixBook
+    loads: UpstreamLoads
+    works: OutstandingWork
+    prefixes: PrefixCaches
     models: EngineModels
     pauses: dict[str, timedelta] = field(default_factory=dict)
     """The strictest limit on pauses among the routes of each service."""
--- a/packages/mustardquay/src/mustardquay/generation_limits.py
+++ b/packages/mustardquay/src/mustardquay/generation_limits.py
@@ -15,9 +15,9 @@
 __all__ = [
     "admits_generation",
     "admits_late",
-    "admits_turn",
-    "draw_return",
-    "has_returned",
+    "admits_rate_limit_wait",
+    "draw_retry_delay",
+    "is_retry",
     "rank_generation",
 ]
 
@@ -76,23 +76,23 @@
     often than small ones. Only what is read in a moment waits longer: to refuse it
     makes room for nobody.
     """
-    if _is_full(placement) or not admits_turn(route, placement):
+    if _is_full(placement) or not admits_rate_limit_wait(route, placement):
         return False
     target = route.latency_target.total_seconds()
     taken = placement.usual_seconds + placement.first_seconds + rest.total_seconds()
     bound = (1 - CALLER_SHARE) * target - taken
-    if placement.read_seconds <= LIGHT_READ_SHARE * target:
+    if placement.prefill_seconds <= LIGHT_READ_SHARE * target:
         bound = max(bound, LIGHT_SHARE * time_left.total_seconds())
     return placement.delay_seconds <= bound
 
 
-def admits_turn(route: Route, placement: Placement) -> bool:
+def admits_rate_limit_wait(route: Route, placement: Placement) -> bool:
     """Return whether rate limits of engines let a generation be sent soon enough.
 
     The bound is the same for all: who may wait longer would take each turn before it
     is free, and nobody else would be served.
     """
-    return placement.turn_seconds <= _bound_turn(route, placement)
+    return placement.limit_wait_seconds <= _bound_turn(route, placement)
 
 
 def _bound_turn(route: Route, placement: Placement) -> float:
@@ -108,7 +108,7 @@
 
     Engines read such prompts behind all others, so that they take nobody's place.
     """
-    if _is_full(placement) or not admits_turn(route, placement):
+    if _is_full(placement) or not admits_rate_limit_wait(route, placement):
         return False
     if placement.reader_occupancy > LATE_OCCUPANCY:
         return False
@@ -117,7 +117,7 @@
     return placement.wait_seconds <= LATE_WAIT_SHARE * time_left.total_seconds()
 
 
-def has_returned(route: Route, time_allowed: timedelta) -> bool:
+def is_retry(route: Route, time_allowed: timedelta) -> bool:
     """Return whether a caller has been here before, by the time that it has left."""
     return time_allowed < FRESH_SHARE * route.timeout
 
@@ -139,7 +139,7 @@
     return placement.occupancy >= (LONG_OCCUPANCY if is_long else FULL_OCCUPANCY)
 
 
-def draw_return(
+def draw_retry_delay(
     placement: Placement | None, time_left: timedelta, random: Random
 ) -> timedelta:
     """Return when a refused caller should come back."""
--- a/packages/mustardquay/src/mustardquay/answer_times.py
+++ b/packages/mustardquay/src/mustardquay/latency_margins.py
@@ -1,4 +1,4 @@
-"""Answer times: how much of a target is left for waiting, learned from answers.
+"""Latency margins: how much of a target is left for waiting, learned from answers.
 
 Answers the load of a burst in which several processes send to the same engines: what
 each knows of their queues is older than the queues themselves, so that prompts wait
@@ -11,7 +11,7 @@
 
 from .routing_tables import Route
 
-__all__ = ["AnswerTimes"]
+__all__ = ["LatencyMargins"]
 
 IN_TIME_SHARE = 0.75
 """Part of the answers that are to be in time. More would leave engines idle whenever
@@ -34,7 +34,7 @@
 
 
 @dataclass(slots=True)
-class AnswerTimes:
+class LatencyMargins:
     """By route: time that answers took beside what was expected of them.
 
     A quantile, followed by steps as each answer comes (stochastic approximation;
@@ -44,7 +44,7 @@
 
     _rests: dict[str, _Rest] = field(default_factory=dict)
 
-    def find_rest(self, route: Route, now: timedelta) -> timedelta:
+    def find_margin(self, route: Route, now: timedelta) -> timedelta:
         """Return the time to keep free beside what is expected."""
         return timedelta(seconds=self._get(route, now))
 
--- a/packages/mustardquay/src/mustardquay/fleet_books.py
+++ b/packages/mustardquay/src/mustardquay/peer_availability.py
@@ -1,20 +1,20 @@
-"""Fleet books: which other gateways take callers, by what they say of themselves."""
+"""Peer availability: which other gateways take callers, by their digests."""
 
 from collections.abc import Collection, Iterable
 from dataclasses import dataclass, field
 from datetime import timedelta
 from enum import StrEnum
 
-from .peer_books import DIGEST_LIFETIME, PeerDigest
+from .peer_digests import DIGEST_LIFETIME, PeerDigest
 from .stops import ANSWER_MARGIN
 
 __all__ = [
-    "FleetBook",
+    "PeerAvailability",
     "Member",
     "MemberState",
-    "find_return",
-    "is_needed",
-    "is_next_to_end",
+    "find_retry_delay",
+    "is_still_routed",
+    "may_stop_early",
 ]
 
 COMEBACK_TIME = timedelta(seconds=2)
@@ -58,12 +58,12 @@
 
 
 @dataclass(slots=True)
-class FleetBook:
+class PeerAvailability:
     """The other gateways that were heard lately."""
 
     _heard: dict[str, _Heard] = field(default_factory=dict)
 
-    def hear(self, digest: PeerDigest, now: timedelta) -> None:
+    def apply_digest(self, digest: PeerDigest, now: timedelta) -> None:
         """Take in what a gateway says; an older word that comes late is dropped."""
         known = self._heard.get(digest.gateway)
         if known is not None and digest.order <= known.digest.order:
@@ -104,7 +104,7 @@
     return Member(name, availability_zone, MemberState.AWAY, back_at)
 
 
-def is_needed(availability_zone: str, members: Collection[Member]) -> bool:
+def is_still_routed(availability_zone: str, members: Collection[Member]) -> bool:
     """Return whether the balancer sends callers to a gateway that isn't ready.
 
     It does when fewer than half of the gateways of an availability zone are ready; one
@@ -129,7 +129,7 @@
     return sum(each.state is MemberState.READY for each in members)
 
 
-def is_next_to_end(name: str, members: Iterable[Member]) -> bool:
+def may_stop_early(name: str, members: Iterable[Member]) -> bool:
     """Return whether a gateway that is needed may end early, so as to be back early.
 
     One at a time, in the order of their names, on which all agree whatever they have
@@ -143,7 +143,7 @@
     )
 
 
-def find_return(
+def find_retry_delay(
     members: Collection[Member], own_end: timedelta, longest: timedelta, now: timedelta
 ) -> timedelta:
     """Return the time after which a refused caller may find a gateway that takes it.
--- a/packages/mustardquay/src/mustardquay/peer_books.py
+++ b/packages/mustardquay/src/mustardquay/peer_digests.py
@@ -1,4 +1,4 @@
-"""Peer books: the outstanding work of the other gateways, from their digests.
+"""Peer digests: the outstanding work of the other gateways, from their digests.
 
 Each gateway sees only its own callers. About twenty times a second it sends the others
 a digest of its outstanding work at each engine and of the prompt parts that it had
@@ -20,7 +20,7 @@
     "LOWEST_RANK",
     "MICROSECONDS",
     "EngineDigest",
-    "PeerBook",
+    "PeerDigests",
     "PeerDigest",
     "PlacedPart",
     "make_ranks",
@@ -58,7 +58,7 @@
     """The work of one gateway at one engine."""
 
     engine: str
-    read_seconds: tuple[float, ...]
+    prefill_seconds: tuple[float, ...]
     """Expected seconds of outstanding prefill, by rank; trailing ranks without work are
     omitted."""
     running: int
@@ -127,26 +127,26 @@
 
 
 @dataclass(slots=True)
-class PeerBook:
+class PeerDigests:
     """The newest digest of each gateway, and their sums by engine."""
 
-    heard: dict[str, _ReceivedDigest] = field(default_factory=dict)
-    unheard_ratio: float = 0.0
+    digests: dict[str, _ReceivedDigest] = field(default_factory=dict)
+    unreported_ratio: float = 0.0
     """Gateways whose digests don't arrive, relative to those whose digests do. They are
     assumed to have as much work outstanding as the others."""
     _sums: dict[str, _EngineSum] = field(default_factory=dict)
 
-    def hear(self, digest: PeerDigest, now: timedelta) -> bool:
+    def apply_digest(self, digest: PeerDigest, now: timedelta) -> bool:
         """Record a digest; return whether it is newer than the previous one.
 
         Datagrams may arrive out of order: older ones are dropped.
         """
-        known = self.heard.get(digest.gateway)
+        known = self.digests.get(digest.gateway)
         if known is not None:
             if digest.order <= known.digest.order:
                 return False
             self._subtract(known.digest)
-        self.heard[digest.gateway] = _ReceivedDigest(digest, now)
+        self.digests[digest.gateway] = _ReceivedDigest(digest, now)
         self._add(digest)
         return True
 
@@ -154,33 +154,37 @@
         """Drop expired digests."""
         silent = [
             name
-            for name, heard in self.heard.items()
-            if now - heard.at > DIGEST_LIFETIME
+            for name, received in self.digests.items()
+            if now - received.at > DIGEST_LIFETIME
         ]
         for name in silent:
-            self._subtract(self.heard.pop(name).digest)
+            self._subtract(self.digests.pop(name).digest)
 
-    def get_read_seconds(self, engine: str, rank: int = LOWEST_RANK) -> float:
+    def get_prefill_seconds(self, engine: str, rank: int = LOWEST_RANK) -> float:
         """Return the other gateways' outstanding prefill at an engine, up to a rank."""
         found = self._sums.get(engine)
         if found is None:
             return 0.0
-        heard = sum(found.microseconds[: rank + 1]) / MICROSECONDS
-        return heard * (1 + self.unheard_ratio)
+        reported = sum(found.microseconds[: rank + 1]) / MICROSECONDS
+        return reported * (1 + self.unreported_ratio)
 
     def get_running(self, engine: str) -> int:
         """Return how many answers an engine decodes for the other gateways."""
         found = self._sums.get(engine)
-        return 0 if found is None else round(found.running * (1 + self.unheard_ratio))
+        return (
+            0 if found is None else round(found.running * (1 + self.unreported_ratio))
+        )
 
     def list_configurations(self) -> list[int]:
         """Return the configuration version of each gateway."""
-        return [heard.digest.configuration for heard in self.heard.values()]
+        return [received.digest.configuration for received in self.digests.values()]
 
     def list_changing(self) -> set[str]:
         """Return the engines that are changing their stage and take no work."""
         return {
-            engine for heard in self.heard.values() for engine in heard.digest.changing
+            engine
+            for received in self.digests.values()
+            for engine in received.digest.changing
         }
 
     def _add(self, digest: PeerDigest) -> None:
@@ -199,7 +203,7 @@
 
 
 def _add_scaled(total: _EngineSum, each: EngineDigest, sign: int) -> None:
-    for rank, seconds in enumerate(each.read_seconds):
+    for rank, seconds in enumerate(each.prefill_seconds):
         total.microseconds[rank] += sign * round(seconds * MICROSECONDS)
     total.running += sign * each.running
     total.digests += sign
--- a/packages/mustardquay/src/mustardquay/placements.py
+++ b/packages/mustardquay/src/mustardquay/placements.py
@@ -15,9 +15,9 @@
 
 from xxhash import xxh3_64_intdigest
 
-from .engine_books import EngineBooks, HashedPart
-from .engine_models import Reading
+from .engine_models import Prefill
 from .engine_samples import Sample, keep_all
+from .engine_states import EngineStates, HashedPart
 from .requests import PromptTraits
 from .upstream_lists import Stage, UpstreamRecord
 
@@ -59,7 +59,7 @@
     holder: UpstreamRecord | None
     """Another engine, from whose cache the reader first copies the parts that it
     lacks."""
-    read_seconds: float
+    prefill_seconds: float
     """Expected prefill time on the reader."""
     wait_seconds: float
     """Expected queueing time before the prefill begins."""
@@ -69,7 +69,7 @@
     """Expected time from the end of the prefill to the first event."""
     cost: float
     """Seconds: queueing, prefill and the delay caused to other requests."""
-    reading: Reading = Reading(0)
+    prefill: Prefill = Prefill(0)
     """Tokens to compute, cached and copied on the reader."""
     work_seconds: float = 0.0
     """Total outstanding prefill on the reader, including work ranked behind this
@@ -78,9 +78,9 @@
     """Expected prefill time of an average prompt."""
     stream_seconds: float = 0.0
     """Expected time from the first event to the end of the longest answer allowed."""
-    reader_turn: float = 0.0
+    reader_limit_wait: float = 0.0
     """Seconds until the rate limit of the reader allows another request."""
-    decoder_turn: float = 0.0
+    decoder_limit_wait: float = 0.0
     """The same for the decoder; 0 when it prefills the prompt itself."""
 
     @property
@@ -96,21 +96,21 @@
         return self.work_seconds / self.usual_seconds / max(self.reader.slots, 1)
 
     @property
-    def turn_seconds(self) -> float:
+    def limit_wait_seconds(self) -> float:
         """Return the delay caused by rate limits, in seconds."""
-        begun = max(self.wait_seconds, self.reader_turn)
-        is_read = begun + self.read_seconds
-        return begun - self.wait_seconds + max(self.decoder_turn - is_read, 0.0)
+        begun = max(self.wait_seconds, self.reader_limit_wait)
+        is_read = begun + self.prefill_seconds
+        return begun - self.wait_seconds + max(self.decoder_limit_wait - is_read, 0.0)
 
     @property
     def expected_seconds(self) -> float:
         """Return the expected time until the first event."""
-        return self.delay_seconds + self.read_seconds + self.first_seconds
+        return self.delay_seconds + self.prefill_seconds + self.first_seconds
 
     @property
     def delay_seconds(self) -> float:
         """Return the expected delay by queueing and by rate limits."""
-        return self.wait_seconds + self.turn_seconds
+        return self.wait_seconds + self.limit_wait_seconds
 
 
 @dataclass(frozen=True, slots=True)
@@ -119,7 +119,7 @@
 
     prompt: PromptTraits
     parts: Sequence[HashedPart]
-    books: EngineBooks
+    states: EngineStates
     now: timedelta
     holder: UpstreamRecord | None
     """The engine expected to have the longest cached prefix of the prompt."""
@@ -129,7 +129,7 @@
 
     def expect_wait(self, engine: UpstreamRecord) -> float:
         """Return the queueing time at an engine for a prompt of this rank."""
-        return self.books.works.sum_seconds(engine.id, self.rank)
+        return self.states.works.sum_seconds(engine.id, self.rank)
 
     def sum_work(self, engine: UpstreamRecord) -> float:
         """Return the seconds of all outstanding prefill at an engine.
@@ -137,27 +137,27 @@
         Placement uses the total: an urgent prompt on a busy engine waits little itself
         but delays all others there.
         """
-        return self.books.works.sum_seconds(engine.id)
+        return self.states.works.sum_seconds(engine.id)
 
     def expect_stream(self, engine: UpstreamRecord, streams: int) -> float:
         tokens = self.prompt.output_tokens
-        return self.books.models.expect_stream(engine.service, tokens, streams)
+        return self.states.models.expect_stream(engine.service, tokens, streams)
 
     def count_cached(self, engine: UpstreamRecord) -> int:
-        return self.books.prefixes.count_cached(engine.id, self.parts)
+        return self.states.prefixes.count_cached(engine.id, self.parts)
 
-    def make_prefill(self, cached: int, copied: int = 0) -> Reading:
-        return Reading(max(self.prompt.prompt_tokens - cached, 1), cached, copied)
+    def make_prefill(self, cached: int, copied: int = 0) -> Prefill:
+        return Prefill(max(self.prompt.prompt_tokens - cached, 1), cached, copied)
 
-    def expect_read(self, engine: UpstreamRecord, reading: Reading) -> float:
-        return self.books.models.expect_read(engine, reading, self.now)
+    def expect_prefill(self, engine: UpstreamRecord, prefill: Prefill) -> float:
+        return self.states.models.expect_prefill(engine, prefill, self.now)
 
 
 @dataclass(frozen=True, slots=True)
 class _PrefillPlan:
     """The cheapest way to prefill the prompt on one engine."""
 
-    reading: Reading
+    prefill: Prefill
     holder: UpstreamRecord | None
     seconds: float
     eviction_cost: float
@@ -168,7 +168,7 @@
     prompt: PromptTraits,
     parts: Sequence[HashedPart],
     engines: Sequence[UpstreamRecord],
-    books: EngineBooks,
+    states: EngineStates,
     now: timedelta,
     avoid: Iterable[str] = (),
     sending: timedelta = timedelta(),
@@ -181,25 +181,25 @@
     request once. Engines process it before requests with a higher `rank`. `sample`
     selects the prefill engines to compare.
     """
-    usable = _list_usable(engines, books, now, set(avoid))
+    usable = _list_usable(engines, states, now, set(avoid))
     decoders = [engine for engine in usable if engine.stage is not Stage.PREFILL]
     if not decoders:
         return None
     prefillers = [engine for engine in usable if engine.stage is Stage.PREFILL]
     held, holder = max(
-        ((books.prefixes.count_cached(each.id, parts), each) for each in usable),
+        ((states.prefixes.count_cached(each.id, parts), each) for each in usable),
         key=lambda pair: pair[0],
     )
-    query = _Query(prompt, parts, books, now, holder, held, rank)
+    query = _Query(prompt, parts, states, now, holder, held, rank)
     singles = [_make_single(engine, query) for engine in decoders]
     if not prefillers:
         return min(singles, key=_get_cost)
-    decoder = _pick_decoder(decoders, books, now)
+    decoder = _pick_decoder(decoders, states, now)
     preferred = _choose_by_hash(parts, prefillers)
     candidates = _sample(prefillers, preferred, holder, sample)
     pairs = [_make_pair(engine, decoder, preferred, query) for engine in candidates]
     pair = min(pairs, key=_get_cost)
-    admissible = [each for each in singles if _may_prefill(each, books)]
+    admissible = [each for each in singles if _may_prefill(each, states)]
     if not admissible:
         return pair
     best = min(admissible, key=_get_cost)
@@ -209,14 +209,14 @@
 
 def choose_decoder(
     engines: Sequence[UpstreamRecord],
-    books: EngineBooks,
+    states: EngineStates,
     now: timedelta,
     avoid: Iterable[str] = (),
 ) -> UpstreamRecord | None:
     """Return the engine to decode from a finished prefill, or None if there is none."""
-    usable = _list_usable(engines, books, now, set(avoid))
+    usable = _list_usable(engines, states, now, set(avoid))
     decoders = [engine for engine in usable if engine.stage is not Stage.PREFILL]
-    return _pick_decoder(decoders, books, now) if decoders else None
+    return _pick_decoder(decoders, states, now) if decoders else None
 
 
 def _sample(
@@ -243,40 +243,40 @@
 
 
 def _pick_decoder(
-    decoders: Sequence[UpstreamRecord], books: EngineBooks, now: timedelta
+    decoders: Sequence[UpstreamRecord], states: EngineStates, now: timedelta
 ) -> UpstreamRecord:
-    return min(decoders, key=lambda engine: _estimate_decoder_cost(engine, books, now))
+    return min(decoders, key=lambda engine: _estimate_decoder_cost(engine, states, now))
 
 
-def _may_prefill(placement: Placement, books: EngineBooks) -> bool:
+def _may_prefill(placement: Placement, states: EngineStates) -> bool:
     """Return whether a decode engine may prefill the prompt itself.
 
     Limits the pauses of running streams: the engine prefills between decode steps, and
     all of its outstanding prefill may fall between two events.
     """
     engine = placement.decoder
-    streams = books.works.sum_running(engine.id)
-    allowed = books.pauses.get(engine.service)
+    streams = states.works.sum_running(engine.id)
+    allowed = states.pauses.get(engine.service)
     if not streams or allowed is None:
         return True
-    pause = books.models.expect_pause(engine.service, streams)
+    pause = states.models.expect_pause(engine.service, streams)
     longest = allowed.total_seconds()
     room = max(PAUSE_SHARE * longest - pause, SHORT_SHARE * longest)
-    outstanding = books.works.sum_seconds(engine.id)
-    return outstanding + placement.read_seconds <= room
+    outstanding = states.works.sum_seconds(engine.id)
+    return outstanding + placement.prefill_seconds <= room
 
 
 def _plan_prefill(engine: UpstreamRecord, query: _Query) -> _PrefillPlan:
     """Return the cheaper of prefill alone and prefill after copying the prefix."""
     cached = query.count_cached(engine)
     uncopied = query.make_prefill(cached)
-    seconds = query.expect_read(engine, uncopied)
+    seconds = query.expect_prefill(engine, uncopied)
     if query.holder is None or query.held <= cached:
         return _PrefillPlan(uncopied, None, seconds, 0.0)
     copying = query.make_prefill(query.held, query.held - cached)
-    with_copy = query.expect_read(engine, copying)
+    with_copy = query.expect_prefill(engine, copying)
     eviction_cost = EVICTION_SHARE * (seconds - with_copy)
-    overhead = query.books.models.expect_overhead(engine.service)
+    overhead = query.states.models.expect_overhead(engine.service)
     if with_copy + eviction_cost + overhead >= seconds:
         return _PrefillPlan(uncopied, None, seconds, 0.0)
     return _PrefillPlan(copying, query.holder, with_copy, eviction_cost)
@@ -284,7 +284,7 @@
 
 def _list_usable(
     engines: Sequence[UpstreamRecord],
-    books: EngineBooks,
+    states: EngineStates,
     now: timedelta,
     avoided: set[str],
 ) -> list[UpstreamRecord]:
@@ -296,11 +296,11 @@
     """
     usable = [engine for engine in engines if engine.id not in avoided]
     healthy = [
-        engine for engine in usable if not books.loads.get(engine.id).is_ejected(now)
+        engine for engine in usable if not states.loads.get(engine.id).is_ejected(now)
     ]
     if any(engine.stage is not Stage.PREFILL for engine in healthy):
         return healthy
-    return [engine for engine in usable if not books.loads.is_lost(engine.id, now)]
+    return [engine for engine in usable if not states.loads.is_lost(engine.id, now)]
 
 
 def _get_cost(placement: Placement) -> float:
@@ -323,8 +323,8 @@
 
 def _make_single(engine: UpstreamRecord, query: _Query) -> Placement:
     placement = _make_placement(engine, None, query)
-    running = query.books.works.sum_running(engine.id)
-    delay = STREAM_DELAY_SHARE * running * placement.read_seconds
+    running = query.states.works.sum_running(engine.id)
+    delay = STREAM_DELAY_SHARE * running * placement.prefill_seconds
     return replace(placement, cost=placement.cost + delay)
 
 
@@ -335,12 +335,12 @@
     query: _Query,
 ) -> Placement:
     placement = _make_placement(decoder, engine, query)
-    books = query.books
-    extra = books.models.expect_overhead(engine.service)
-    extra += _failure_cost(decoder, books, query.now)
+    states = query.states
+    extra = states.models.expect_overhead(engine.service)
+    extra += _failure_cost(decoder, states, query.now)
     if engine.id != preferred:
         shared = sum(tokens for _, tokens in query.parts[:-1])
-        extra += AFFINITY_SHARE * query.expect_read(engine, Reading(shared))
+        extra += AFFINITY_SHARE * query.expect_prefill(engine, Prefill(shared))
     return replace(placement, cost=placement.cost + extra)
 
 
@@ -348,46 +348,50 @@
     decoder: UpstreamRecord, prefiller: UpstreamRecord | None, query: _Query
 ) -> Placement:
     """Return a placement with the cost terms that both kinds of placement share."""
-    books = query.books
+    states = query.states
     reader = prefiller or decoder
     planned = _plan_prefill(reader, query)
     work = query.sum_work(reader)
-    running = books.works.sum_running(decoder.id)
-    first = books.models.expect_first(decoder.service, running)
-    reader_turn = books.limits.expect_wait(reader, query.now)
-    decoder_turn = 0.0
+    running = states.works.sum_running(decoder.id)
+    first = states.models.expect_first(decoder.service, running)
+    reader_limit_wait = states.limits.expect_wait(reader, query.now)
+    decoder_limit_wait = 0.0
     if prefiller is not None:
-        decoder_turn = books.limits.expect_wait(decoder, query.now)
-    cost = max(work, reader_turn) + planned.seconds + planned.eviction_cost + first
-    cost = max(cost, decoder_turn + first)
+        decoder_limit_wait = states.limits.expect_wait(decoder, query.now)
+    cost = (
+        max(work, reader_limit_wait) + planned.seconds + planned.eviction_cost + first
+    )
+    cost = max(cost, decoder_limit_wait + first)
     return Placement(
         decoder=decoder,
         prefiller=prefiller,
         holder=planned.holder,
-        read_seconds=planned.seconds,
+        prefill_seconds=planned.seconds,
         wait_seconds=query.expect_wait(reader),
         occupancy=running / max(decoder.slots, 1),
         first_seconds=first,
-        cost=cost + _failure_cost(reader, books, query.now),
-        reading=planned.reading,
+        cost=cost + _failure_cost(reader, states, query.now),
+        prefill=planned.prefill,
         work_seconds=work,
-        usual_seconds=books.models.get_usual_read(reader.service),
+        usual_seconds=states.models.get_usual_prefill(reader.service),
         stream_seconds=query.expect_stream(decoder, running),
-        reader_turn=reader_turn,
-        decoder_turn=decoder_turn,
+        reader_limit_wait=reader_limit_wait,
+        decoder_limit_wait=decoder_limit_wait,
     )
 
 
 def _estimate_decoder_cost(
-    engine: UpstreamRecord, books: EngineBooks, now: timedelta
+    engine: UpstreamRecord, states: EngineStates, now: timedelta
 ) -> float:
-    running = books.works.sum_running(engine.id)
-    wait = books.works.sum_seconds(engine.id)
-    wait = max(wait, books.limits.expect_wait(engine, now))
-    first = books.models.expect_first(engine.service, running)
-    return wait + first + _failure_cost(engine, books, now)
+    running = states.works.sum_running(engine.id)
+    wait = states.works.sum_seconds(engine.id)
+    wait = max(wait, states.limits.expect_wait(engine, now))
+    first = states.models.expect_first(engine.service, running)
+    return wait + first + _failure_cost(engine, states, now)
 
 
-def _failure_cost(engine: UpstreamRecord, books: EngineBooks, now: timedelta) -> float:
+def _failure_cost(
+    engine: UpstreamRecord, states: EngineStates, now: timedelta
+) -> float:
     """Return the cost of an engine's recent failures, in seconds."""
-    return FAILURE_SECONDS * books.loads.read_failure_rate(engine.id, now)
+    return FAILURE_SECONDS * states.loads.read_failure_rate(engine.id, now)
--- a/packages/mustardquay/src/mustardquay/predictions.py
+++ b/packages/mustardquay/src/mustardquay/predictions.py
@@ -16,7 +16,7 @@
     "OutputLengths",
     "PromptLengths",
     "RateEstimator",
-    "discount_queue",
+    "estimate_queued_tokens",
 ]
 
 WINDOW = 64
@@ -202,7 +202,7 @@
         return min(ratios)
 
 
-def discount_queue(
+def estimate_queued_tokens(
     view: UpstreamView, now: timedelta, within_share: bool = False
 ) -> float:
     """Return the prompt tokens still queued, if the engine went on since its report.
--- a/packages/mustardquay/src/mustardquay/requests.py
+++ b/packages/mustardquay/src/mustardquay/requests.py
@@ -3,7 +3,7 @@
 from dataclasses import dataclass
 from enum import StrEnum
 
-__all__ = ["PromptPart", "PromptTraits", "SendEnd"]
+__all__ = ["PromptPart", "PromptTraits", "SendResult"]
 
 
 @dataclass(frozen=True, slots=True)
@@ -33,7 +33,7 @@
         return self.parts[:-1]
 
 
-class SendEnd(StrEnum):
+class SendResult(StrEnum):
     """How one send of a request to an upstream ended."""
 
     ANSWERED = "answered"
@@ -54,8 +54,8 @@
     def is_not_run(self) -> bool:
         """Return whether this send surely did not run the request."""
         return self in (
-            SendEnd.NOT_SENT,
-            SendEnd.NOT_RUN,
-            SendEnd.OTHER_UPSTREAM,
-            SendEnd.UNREAD,
+            SendResult.NOT_SENT,
+            SendResult.NOT_RUN,
+            SendResult.OTHER_UPSTREAM,
+            SendResult.UNREAD,
         )
--- a/packages/mustardquay/src/mustardquay/routes.py
+++ b/packages/mustardquay/src/mustardquay/routes.py
@@ -15,7 +15,7 @@
 
 from .caches import PrefixIndex
 from .errors import Reason, Refusal
-from .predictions import discount_queue
+from .predictions import estimate_queued_tokens
 from .works import Role, UpstreamView, Work
 
 __all__ = ["choose_upstream", "predict_first_token"]
@@ -68,7 +68,7 @@
     rate = view.prefill_rate / view.slowness
     cached = index.expected_tokens(view.name, work.prefix) if index else 0
     uncached = max(work.prompt_tokens - cached, 1)
-    seconds = (discount_queue(view, now, not work.over_share) + uncached) / rate
+    seconds = (estimate_queued_tokens(view, now, not work.over_share) + uncached) / rate
     busy = max(view.running, view.own_running)
     if busy >= view.concurrency and work.over_share:
         # Every slot is taken: the work waits until some streams end.
--- a/packages/mustardquay/src/mustardquay/sendings.py
+++ b/packages/mustardquay/src/mustardquay/sendings.py
@@ -9,7 +9,7 @@
 from datetime import timedelta
 from enum import StrEnum
 
-from .requests import SendEnd
+from .requests import SendResult
 from .routing_tables import Repeat, Route
 
 __all__ = ["NextStep", "ReadingState", "Sendings", "count_repeats", "decide_next"]
@@ -57,11 +57,11 @@
     misdirected: int = 0
     """Sends that reached another upstream than the one meant."""
 
-    def note(self, end: SendEnd) -> None:
+    def note(self, end: SendResult) -> None:
         """Count a send that has ended."""
-        if end is SendEnd.OTHER_UPSTREAM:
+        if end is SendResult.OTHER_UPSTREAM:
             self.misdirected += 1
-        elif end not in (SendEnd.NOT_SENT, SendEnd.UNREAD):
+        elif end not in (SendResult.NOT_SENT, SendResult.UNREAD):
             self.offered += 1
         if not end.is_not_run:
             self.may_have_run = True
@@ -73,7 +73,7 @@
 
 
 def decide_next(
-    route: Route, sendings: Sendings, end: SendEnd, status: int, time_left: timedelta
+    route: Route, sendings: Sendings, end: SendResult, status: int, time_left: timedelta
 ) -> NextStep:
     """Return what follows a send that `sendings` has taken in.
 
@@ -82,11 +82,11 @@
     >>> from datetime import timedelta as t
     >>> once = Route("r", "h", "/", Repeat.AT_MOST_ONCE, (), t(1), t(1))
     >>> sendings = Sendings()
-    >>> sendings.note(SendEnd.BROKEN)
-    >>> decide_next(once, sendings, SendEnd.BROKEN, 0, t(seconds=1)).value
+    >>> sendings.note(SendResult.BROKEN)
+    >>> decide_next(once, sendings, SendResult.BROKEN, 0, t(seconds=1)).value
     'fail'
     """
-    if end is SendEnd.ANSWERED:
+    if end is SendResult.ANSWERED:
         if not _is_worth_repeating(route, sendings, status, time_left):
             return NextStep.PASS_ON
         return NextStep.SEND_AGAIN
@@ -101,19 +101,19 @@
     return NextStep.FAIL if sendings.may_have_run else NextStep.REFUSE
 
 
-def count_repeats(route: Route, end: SendEnd, reading: ReadingState) -> int:
+def count_repeats(route: Route, end: SendResult, reading: ReadingState) -> int:
     """Return the sends that another try takes from the retry allowance.
 
     Only the first reading of a prompt is free, and the first send for the rest.
 
     >>> from datetime import timedelta as t
     >>> stream = Route("r", "h", "/", Repeat.STREAM, (), t(1), t(1), has_prompt=True)
-    >>> [count_repeats(stream, SendEnd.BROKEN, each) for each in ReadingState]
+    >>> [count_repeats(stream, SendResult.BROKEN, each) for each in ReadingState]
     [2, 1, 2]
-    >>> [count_repeats(stream, SendEnd.NOT_SENT, each) for each in ReadingState]
+    >>> [count_repeats(stream, SendResult.NOT_SENT, each) for each in ReadingState]
     [0, 0, 1]
     """
-    sends = 0 if end is SendEnd.NOT_SENT else 1
+    sends = 0 if end is SendResult.NOT_SENT else 1
     is_read_anew = route.has_prompt and reading is not ReadingState.KEPT
     if is_read_anew and (sends or reading is ReadingState.LOST):
         sends += 1
@@ -127,8 +127,8 @@
     return route.is_repeatable
 
 
-def _has_attempts(route: Route, sendings: Sendings, end: SendEnd) -> bool:
-    if end is SendEnd.OTHER_UPSTREAM:
+def _has_attempts(route: Route, sendings: Sendings, end: SendResult) -> bool:
+    if end is SendResult.OTHER_UPSTREAM:
         return sendings.misdirected < MISDIRECTED_LIMIT
     return sendings.offered < route.max_attempts
 
--- a/packages/mustardquay/src/mustardquay/stalls.py
+++ b/packages/mustardquay/src/mustardquay/stall_timeouts.py
@@ -1,4 +1,4 @@
-"""Stalls: how long an engine may be silent before its work goes on elsewhere.
+"""Stall timeouts: how long an engine may be silent before its work goes on elsewhere.
 
 Answers engines that are lost without closing their connections. Their callers give up
 after two seconds without an event. Only what may be resumed or has not been sent goes
@@ -10,7 +10,7 @@
 from .placements import Placement
 from .routing_tables import Route
 
-__all__ = ["limit_first", "limit_reading", "limit_silence"]
+__all__ = ["find_first_event_timeout", "find_prefill_timeout", "find_idle_timeout"]
 
 PAUSES = 3
 """Pauses of the longest kind that is still on time, in one. Events come some 50 ms
@@ -21,7 +21,7 @@
 readings in a day with bursts one in a hundred took 250 ms longer."""
 
 
-def limit_silence(route: Route) -> timedelta | None:
+def find_idle_timeout(route: Route) -> timedelta | None:
     """Return the longest time without an event of a stream; None for no limit."""
     if not route.resumable:
         return None
@@ -29,7 +29,7 @@
     return max(pause * PAUSES, LEAST_SILENCE)
 
 
-def limit_reading(route: Route, placement: Placement) -> timedelta:
+def find_prefill_timeout(route: Route, placement: Placement) -> timedelta:
     """Return how long an engine may take to read a prompt.
 
     From all that it has to read, since more urgent prompts go before this one also
@@ -38,15 +38,15 @@
     began again at the end of another queue.
     """
     work = max(placement.work_seconds, placement.wait_seconds)
-    expected = work + placement.read_seconds
+    expected = work + placement.prefill_seconds
     slack = max(LEAST_READING_SLACK, route.latency_target)
     return timedelta(seconds=2 * expected) + slack
 
 
-def limit_first(route: Route, placement: Placement) -> timedelta | None:
+def find_first_event_timeout(route: Route, placement: Placement) -> timedelta | None:
     """Return how long an engine that also reads may take to its first event."""
-    silence = limit_silence(route)
+    silence = find_idle_timeout(route)
     if silence is None:
         return None
-    reading = limit_reading(route, placement)
+    reading = find_prefill_timeout(route, placement)
     return max(silence, reading + timedelta(seconds=placement.first_seconds))
--- a/packages/mustardquay/src/mustardquay/stops.py
+++ b/packages/mustardquay/src/mustardquay/stops.py
@@ -62,7 +62,7 @@
 class StopPlace:
     """What a gateway is to its fleet while it stops."""
 
-    is_needed: bool = False
+    is_still_routed: bool = False
     """Whether the balancer sends callers all the same."""
     is_next: bool = False
     """Whether it is its turn to end early though it is needed."""
@@ -85,7 +85,7 @@
     ['leaving', 'last_calls', 'closed']
     >>> find_state(times, 3 * second, 0).value
     'closed'
-    >>> find_state(times, 3 * second, 0, StopPlace(is_needed=True)).value
+    >>> find_state(times, 3 * second, 0, StopPlace(is_still_routed=True)).value
     'leaving'
     """
     if times is None:
@@ -94,7 +94,7 @@
         return StopState.CLOSED
     if now - times.began_at < BALANCER_NOTICE:
         return StopState.LEAVING
-    if place.is_needed and (in_flight or not place.is_next):
+    if place.is_still_routed and (in_flight or not place.is_next):
         return StopState.LEAVING
     return StopState.LAST_CALLS if in_flight else StopState.CLOSED
 
--- a/packages/mustardquay/src/mustardquay/upstream_loads.py
+++ b/packages/mustardquay/src/mustardquay/upstream_loads.py
@@ -11,7 +11,7 @@
 
 from .upstream_lists import UpstreamRecord
 
-__all__ = ["LoadBook", "UpstreamLoad", "choose_plain"]
+__all__ = ["UpstreamLoads", "UpstreamLoad", "choose_plain"]
 
 FAILURE_WEIGHT = 0.2
 """Weight of the newest send in the failure rate: some ten sends are remembered."""
@@ -57,7 +57,7 @@
 
     in_flight: int = 0
     failure_rate: float = 0.0
-    """As of `failure_at`; see `LoadBook.read_failure_rate`."""
+    """As of `failure_at`; see `UpstreamLoads.read_failure_rate`."""
     failure_at: timedelta = timedelta()
     sends: int = 0
     ejections: int = 0
@@ -66,7 +66,7 @@
     """Refusals in a row."""
     unreachable_since: timedelta | None = None
     lapsing_until: timedelta = timedelta()
-    heard_at: timedelta | None = None
+    last_activity_at: timedelta | None = None
     """When anything came from the upstream."""
     reported: int = 0
     """Requests of all processes there, by the newest answer."""
@@ -78,7 +78,7 @@
 
 
 @dataclass(slots=True)
-class LoadBook:
+class UpstreamLoads:
     """The loads of all upstreams, by their ids."""
 
     loads: dict[str, UpstreamLoad] = field(default_factory=dict)
@@ -137,18 +137,18 @@
     def note_reached(self, id: str, now: timedelta) -> None:
         """Note that an upstream has answered."""
         load = self.get(id)
-        load.heard_at = now
+        load.last_activity_at = now
         load.refusals = 0
         load.unreachable_since = None
 
-    def note_heard(self, id: str, now: timedelta) -> None:
+    def note_activity(self, id: str, now: timedelta) -> None:
         """Note that an upstream has sent something."""
-        self.get(id).heard_at = now
+        self.get(id).last_activity_at = now
 
-    def is_heard(self, id: str, now: timedelta) -> bool:
+    def has_recent_activity(self, id: str, now: timedelta) -> bool:
         """Return whether an upstream has sent something lately, so that it lives."""
-        heard_at = self.get(id).heard_at
-        return heard_at is not None and now - heard_at < HEARD_TIME
+        last_activity_at = self.get(id).last_activity_at
+        return last_activity_at is not None and now - last_activity_at < HEARD_TIME
 
     def is_lost(self, id: str, now: timedelta) -> bool:
         """Return whether an upstream has been out of reach for long."""
@@ -156,11 +156,11 @@
         since = load.unreachable_since if load else None
         return since is not None and now - since >= LOST_TIME
 
-    def note_lapsed_handle(self, id: str, now: timedelta) -> None:
+    def note_expired_handle(self, id: str, now: timedelta) -> None:
         """Note that what an engine had read could not be fetched."""
         self.get(id).lapsing_until = now + LAPSING_TIME
 
-    def has_lapsing_handles(self, id: str, now: timedelta) -> bool:
+    def has_expired_handles(self, id: str, now: timedelta) -> bool:
         """Return whether handles of an engine lapsed lately."""
         return now < self.get(id).lapsing_until
 
@@ -177,17 +177,17 @@
 
 def choose_plain(
     candidates: Sequence[UpstreamRecord],
-    book: LoadBook,
+    book: UpstreamLoads,
     now: timedelta,
     availability_zone: str,
     random: Random,
     avoid: Iterable[str] = (),
-    expect_turn: Callable[[UpstreamRecord], float] = lambda record: 0.0,
+    expect_limit_wait: Callable[[UpstreamRecord], float] = lambda record: 0.0,
 ) -> UpstreamRecord | None:
-    """Return the plain upstream with the shortest queue as far as is known.
+    """Return the plain upstream with the shortest known queue.
 
-    Those that may be sent to at once go before the others; `expect_turn` returns the
-    seconds until the rate limit of one lets it be sent to.
+    Upstreams without a rate limit wait are preferred; `expect_limit_wait` returns the
+    seconds until the rate limit of an upstream allows another request.
 
     Answers the load of short calls on a few upstreams with some slots each. Ejected
     upstreams are used only when all are ejected, so that a place known to be free is
@@ -202,14 +202,14 @@
     for record in healthy or usable:
         cost = _weigh_plain(record, book, now, availability_zone)
         cost += random.random() * 0.1
-        order = (expect_turn(record), cost)
+        order = (expect_limit_wait(record), cost)
         if order < least:
             best, least = record, order
     return best
 
 
 def _weigh_plain(
-    record: UpstreamRecord, book: LoadBook, now: timedelta, availability_zone: str
+    record: UpstreamRecord, book: UpstreamLoads, now: timedelta, availability_zone: str
 ) -> float:
     load = book.get(record.id)
     count = float(load.in_flight)
--- a/packages/mustardquay/tests/test_engine_models.py
+++ b/packages/mustardquay/tests/test_engine_models.py
@@ -5,7 +5,7 @@
 
 import pytest
 
-from mustardquay.engine_models import EngineModels, Reading
+from mustardquay.engine_models import EngineModels, Prefill
 from mustardquay.upstream_lists import Stage, UpstreamRecord
 
 NOW = timedelta(seconds=5)
@@ -18,31 +18,31 @@
     return UpstreamRecord(id, "llm", "10.0.0.1:80", "a", 64, False, stage)
 
 
-def draw_reading(random):
+def draw_prefill(random):
     new = int(random.lognormvariate(7.5, 1.0)) + 16
-    return Reading(new, random.choice((0, 2_500, 6_300, 13_300)))
+    return Prefill(new, random.choice((0, 2_500, 6_300, 13_300)))
 
 
-def time_reading(reading, slower):
-    _, tokens, pairs, _ = reading.features
+def time_prefill(prefill, slower):
+    _, tokens, pairs, _ = prefill.features
     return slower * (tokens * TOKEN + pairs * PAIR)
 
 
 def teach(models, engine, slower, count, random, unseen=0.0, now=NOW):
     """Have a model see readings, a part of them behind waits that nobody knew of."""
     for _ in range(count):
-        reading = draw_reading(random)
-        took = FIXED + time_reading(reading, slower) * random.uniform(0.95, 1.1)
+        prefill = draw_prefill(random)
+        took = FIXED + time_prefill(prefill, slower) * random.uniform(0.95, 1.1)
         if random.random() < unseen:
-            took += time_reading(draw_reading(random), slower)
-        models.learn_read(engine, reading, 0.0, took, now)
+            took += time_prefill(draw_prefill(random), slower)
+        models.learn_prefill(engine, prefill, 0.0, took, now)
 
 
 def measure_error(models, engine, slower, random, now=NOW):
     """Return the ratio of what is expected of many readings to the truth."""
-    readings = [draw_reading(random) for _ in range(200)]
-    expected = sum(models.expect_read(engine, each, now) for each in readings)
-    return expected / sum(time_reading(each, slower) for each in readings)
+    prefills = [draw_prefill(random) for _ in range(200)]
+    expected = sum(models.expect_prefill(engine, each, now) for each in prefills)
+    return expected / sum(time_prefill(each, slower) for each in prefills)
 
 
 @pytest.mark.parametrize("slower", [0.2, 0.45, 1.0, 2.1, 5.0])
@@ -66,13 +66,13 @@
     for _ in range(60):
         teach(models, fast, 1.0, 2, random)
         teach(models, slow, 3.0, 1, random)
-    reading = Reading(3_000, 6_300)
-    ratio = models.expect_read(slow, reading, NOW) / models.expect_read(
-        fast, reading, NOW
+    prefill = Prefill(3_000, 6_300)
+    ratio = models.expect_prefill(slow, prefill, NOW) / models.expect_prefill(
+        fast, prefill, NOW
     )
     assert 1.8 < ratio < 4.0
     later = NOW + timedelta(seconds=60)
-    assert models.read_factor(slow, later) < 1.1
+    assert models.slowdown_factor(slow, later) < 1.1
 
 
 def test_a_change_of_speed_is_followed_within_some_thirty_answers():
@@ -88,7 +88,7 @@
     random = Random(4)
     models, engine = EngineModels(), make_engine()
     teach(models, engine, 1.0, 50, random)
-    models.learn_read(engine, Reading(3_000, 6_300), 0.0, 10.0, NOW)
+    models.learn_prefill(engine, Prefill(3_000, 6_300), 0.0, 10.0, NOW)
     assert measure_error(models, engine, 1.0, random) < 1.3
 
 
@@ -96,21 +96,23 @@
     random = Random(5)
     known, new, engine = EngineModels(), EngineModels(), make_engine()
     teach(known, engine, 5.0, 60, random)
-    new.hear(known.tell(), NOW)
+    new.adopt_speeds(known.export_speeds(), NOW)
     assert 0.75 < measure_error(new, engine, 5.0, random) < 1.5
 
 
 def test_an_engine_that_generates_reads_at_half_the_speed():
     models = EngineModels()
-    reading = Reading(3_000)
-    alone = models.expect_read(make_engine(stage=Stage.DECODE), reading, NOW)
-    assert alone == pytest.approx(2 * models.expect_read(make_engine(), reading, NOW))
+    prefill = Prefill(3_000)
+    alone = models.expect_prefill(make_engine(stage=Stage.DECODE), prefill, NOW)
+    assert alone == pytest.approx(
+        2 * models.expect_prefill(make_engine(), prefill, NOW)
+    )
 
 
 def test_measurements_behind_a_long_queue_are_left_out():
     models, engine = EngineModels(), make_engine()
     for _ in range(50):
-        models.learn_read(engine, Reading(1_000), 5.0, 5.5, NOW)
+        models.learn_prefill(engine, Prefill(1_000), 5.0, 5.5, NOW)
     assert models.count_samples("llm") == 0
 
 
@@ -125,9 +127,9 @@
     known, late, engine = EngineModels(), EngineModels(), make_engine()
     teach(known, engine, 1.0, 60, random)
     for _ in range(5):
-        late.learn_read(engine, Reading(2_000), 0.0, 1.5, NOW)
+        late.learn_prefill(engine, Prefill(2_000), 0.0, 1.5, NOW)
     assert measure_error(late, engine, 1.0, random) > 3
-    late.hear(known.tell(), NOW)
+    late.adopt_speeds(known.export_speeds(), NOW)
     assert 0.75 < measure_error(late, engine, 1.0, random) < 1.5
 
 
@@ -136,9 +138,9 @@
     random = Random(7)
     models, engine = EngineModels(), make_engine(stage=Stage.DECODE)
     for _ in range(60):
-        reading = draw_reading(random)
-        took = 0.04 + 2 * time_reading(reading, 3.0)
-        models.learn_alone(engine, reading, 4, took, NOW)
+        prefill = draw_prefill(random)
+        took = 0.04 + 2 * time_prefill(prefill, 3.0)
+        models.learn_combined(engine, prefill, 4, took, NOW)
     assert 0.7 < measure_error(models, engine, 3.0, random) / 2 < 1.4
 
 
@@ -152,7 +154,7 @@
     known, new, engine = EngineModels(), EngineModels(), make_engine()
     teach(known, engine, 5.0, 60, random)
     new.set_traits("llm", 13, 4e-7)
-    new.hear(known.tell(), NOW)
+    new.adopt_speeds(known.export_speeds(), NOW)
     new.set_traits("llm", 13, 4e-7)
     assert 0.75 < measure_error(new, engine, 5.0, random) < 1.5
 
@@ -164,15 +166,15 @@
     expected, behind a known wait of twice its own time.
     """
     models = EngineModels()
-    reading = Reading(4_000, 6_300)
+    prefill = Prefill(4_000, 6_300)
     engine = UpstreamRecord("e", "llm", "10.0.0.1:80", "a", 12, False, Stage.PREFILL)
     now = timedelta()
     for _ in range(60):
-        models.learn_read(engine, reading, 0.0, 0.025, now)
-    known = models.expect_read(engine, reading, now)
+        models.learn_prefill(engine, prefill, 0.0, 0.025, now)
+    known = models.expect_prefill(engine, prefill, now)
     for _ in range(20):
-        models.learn_read(engine, reading, 0.05, 0.15, now)
-    assert models.expect_read(engine, reading, now) <= 1.5 * known
+        models.learn_prefill(engine, prefill, 0.05, 0.15, now)
+    assert models.expect_prefill(engine, prefill, now) <= 1.5 * known
     assert models.count_samples("llm") >= 20
 
 
@@ -187,10 +189,10 @@
     decoder = UpstreamRecord("d", "llm", "10.0.0.2:80", "a", 64, False, Stage.DECODE)
     now = timedelta()
     for tokens in (100, 8_000, 300, 2_000, 200, 9_000) * 3:
-        models.learn_read(reader, Reading(tokens), 0.0, 0.05, now)
+        models.learn_prefill(reader, Prefill(tokens), 0.0, 0.05, now)
     for _ in range(30):
-        models.learn_alone(decoder, Reading(9_000), 8, 0.2, now)
-    assert models.expect_read(decoder, Reading(9_000), now) >= 0.1
+        models.learn_combined(decoder, Prefill(9_000), 8, 0.2, now)
+    assert models.expect_prefill(decoder, Prefill(9_000), now) >= 0.1
     assert models.expect_overhead("llm") <= 0.03
 
 
@@ -202,14 +204,14 @@
     """
     models, engine = EngineModels(), make_engine()
     teach(models, engine, 1.0, 60, Random(7))
-    reading = Reading(2_900, 6_300)
-    truth = time_reading(reading, 1.0)
+    prefill = Prefill(2_900, 6_300)
+    truth = time_prefill(prefill, 1.0)
     for _ in range(200):
-        read = models.expect_read(engine, reading, NOW)
+        read = models.expect_prefill(engine, prefill, NOW)
         wait = 3 * read
         took = FIXED + share * 3 * truth + truth
-        models.learn_read(engine, reading, wait, took, NOW)
-    known = models.expect_read(engine, reading, NOW)
+        models.learn_prefill(engine, prefill, wait, took, NOW)
+    known = models.expect_prefill(engine, prefill, NOW)
     assert 0.6 * truth <= known <= 1.5 * truth
 
 
@@ -219,11 +221,11 @@
     models = EngineModels()
     reader, decoder = make_engine(), make_engine("d1", Stage.DECODE)
     teach(models, reader, 1.0, 60, Random(7))
-    reading = Reading(2_900, 6_300)
-    truth = 2 * time_reading(reading, 1.0)
+    prefill = Prefill(2_900, 6_300)
+    truth = 2 * time_prefill(prefill, 1.0)
     for _ in range(200):
-        wait = 3 * models.expect_read(decoder, reading, NOW)
+        wait = 3 * models.expect_prefill(decoder, prefill, NOW)
         took = share * 3 * truth + truth + 0.02
-        models.learn_alone(decoder, reading, 4, took, NOW, wait)
-    known = models.expect_read(decoder, reading, NOW)
+        models.learn_combined(decoder, prefill, 4, took, NOW, wait)
+    known = models.expect_prefill(decoder, prefill, NOW)
     assert 0.6 * truth <= known <= 1.5 * truth
--- a/packages/mustardquay/tests/test_generation_limits.py
+++ b/packages/mustardquay/tests/test_generation_limits.py
@@ -6,9 +6,9 @@
     EARLIEST_RETURN,
     admits_generation,
     admits_late,
-    admits_turn,
-    draw_return,
-    has_returned,
+    admits_rate_limit_wait,
+    draw_retry_delay,
+    is_retry,
 )
 from mustardquay.placements import Placement
 from mustardquay.routing_tables import Repeat, Route
@@ -74,7 +74,7 @@
 def test_those_refused_together_come_back_apart_and_in_time():
     random = Random(5)
     left = timedelta(seconds=1.9)
-    returns = [draw_return(make_placement(0.2), left, random) for _ in range(200)]
+    returns = [draw_retry_delay(make_placement(0.2), left, random) for _ in range(200)]
     assert min(returns) >= EARLIEST_RETURN
     assert max(returns) <= left / 3
     assert max(returns) - min(returns) > timedelta(milliseconds=300)
@@ -95,9 +95,9 @@
     """
     late = make_placement(0.5)
     left = 0.6 * ROUTE.timeout
-    assert not has_returned(ROUTE, ROUTE.timeout)
+    assert not is_retry(ROUTE, ROUTE.timeout)
     assert not admits(late, ROUTE.timeout)
-    assert has_returned(ROUTE, left)
+    assert is_retry(ROUTE, left)
     assert admits_late(ROUTE, late, left)
     assert not admits_late(ROUTE, make_placement(1.0), left)
     assert not admits_late(ROUTE, make_placement(0.0, occupancy=1.7), left)
@@ -134,9 +134,9 @@
 
 def test_a_turn_that_comes_too_late_is_refused_for_all_alike():
     """Guards against drafts that take each turn at an engine before it is free."""
-    soon = replace(make_placement(0.0, read=0.002), decoder_turn=0.1)
-    late = replace(make_placement(0.0, read=0.002), decoder_turn=0.5)
-    assert admits_turn(ROUTE, soon)
+    soon = replace(make_placement(0.0, read=0.002), decoder_limit_wait=0.1)
+    late = replace(make_placement(0.0, read=0.002), decoder_limit_wait=0.5)
+    assert admits_rate_limit_wait(ROUTE, soon)
     for time_left in (ROUTE.timeout, 15 * SECOND):
         assert admits(soon, time_left)
         assert not admits(late, time_left)
@@ -145,12 +145,12 @@
 
 def test_a_turn_that_comes_while_the_prompt_is_read_delays_nothing():
     """Guards against refusals for a wait that nobody has."""
-    placement = replace(make_placement(0.1, read=0.2), decoder_turn=0.25)
-    assert placement.turn_seconds == 0.0
-    assert replace(placement, reader_turn=0.08).turn_seconds == 0.0
+    placement = replace(make_placement(0.1, read=0.2), decoder_limit_wait=0.25)
+    assert placement.limit_wait_seconds == 0.0
+    assert replace(placement, reader_limit_wait=0.08).limit_wait_seconds == 0.0
 
 
 def test_who_is_refused_for_a_limit_is_told_when_it_has_room():
     """Guards against callers who come back to be refused again."""
-    placement = replace(make_placement(0.0), decoder_turn=1.5)
-    assert draw_return(placement, 2 * SECOND, Random(1)) >= 0.7 * SECOND
+    placement = replace(make_placement(0.0), decoder_limit_wait=1.5)
+    assert draw_retry_delay(placement, 2 * SECOND, Random(1)) >= 0.7 * SECOND
--- a/packages/mustardquay/tests/test_placements.py
+++ b/packages/mustardquay/tests/test_placements.py
@@ -1,17 +1,17 @@
 from datetime import timedelta
 
-from mustardquay.engine_books import (
-    EngineBooks,
-    PrefixBook,
-    WorkBook,
+from mustardquay.engine_models import EngineModels, PoolSpeeds
+from mustardquay.engine_states import (
+    EngineStates,
+    OutstandingWork,
+    PrefixCaches,
     hash_parts,
 )
-from mustardquay.engine_models import EngineModels, PoolSpeeds
-from mustardquay.peer_books import EngineDigest, PeerDigest
+from mustardquay.peer_digests import EngineDigest, PeerDigest
 from mustardquay.placements import choose_engines
 from mustardquay.requests import PromptPart, PromptTraits
 from mustardquay.upstream_lists import Stage, UpstreamRecord
-from mustardquay.upstream_loads import LoadBook
+from mustardquay.upstream_loads import UpstreamLoads
 
 NOW = timedelta(seconds=5)
 LONG = PromptTraits(
@@ -36,21 +36,23 @@
     models = EngineModels()
     read = (0.003, 4.24e-6 * slower, 1.38e-10 * slower, 1e-7)
     first = (0.005 + 0.033 * slower, 0.0003 * slower)
-    models.hear((PoolSpeeds("llm", 50.0, read, first),), NOW)
+    models.adopt_speeds((PoolSpeeds("llm", 50.0, read, first),), NOW)
     for streams in range(30):
         models.learn_pause("llm", streams, slower * (0.033 + 0.0003 * streams))
     return models
 
 
 def make_books(slower=1.0):
-    books = EngineBooks(LoadBook(), WorkBook(), PrefixBook(), make_models(slower))
-    books.pauses["llm"] = timedelta(milliseconds=200)
-    return books
+    states = EngineStates(
+        UpstreamLoads(), OutstandingWork(), PrefixCaches(), make_models(slower)
+    )
+    states.pauses["llm"] = timedelta(milliseconds=200)
+    return states
 
 
-def place(prompt, engines, books, avoid=()):
+def place(prompt, engines, states, avoid=()):
     parts = hash_parts(prompt.parts)
-    return choose_engines(prompt, parts, engines, books, NOW, avoid)
+    return choose_engines(prompt, parts, engines, states, NOW, avoid)
 
 
 def test_a_long_prompt_is_read_where_nobody_generates():
@@ -59,25 +61,25 @@
     A long prompt is read in pieces between their steps, and each step takes 5 ms in
     place of 1.
     """
-    books = make_books()
+    states = make_books()
     for engine in ("e4", "e5"):
-        books.works.get(engine).running = 20
-    placement = place(LONG, make_engines(4, 2), books)
+        states.works.get(engine).running = 20
+    placement = place(LONG, make_engines(4, 2), states)
     assert placement.prefiller.stage is Stage.PREFILL
     assert placement.decoder.stage is Stage.DECODE
     for engine in ("e0", "e1", "e2", "e3"):
-        books.works.get(engine).seconds[0] = 2.0
+        states.works.get(engine).seconds[0] = 2.0
     for engine in ("e4", "e5"):
-        books.works.get(engine).seconds[0] = 0.08
-    assert place(LONG, make_engines(4, 2), books).prefiller is not None
+        states.works.get(engine).seconds[0] = 0.08
+    assert place(LONG, make_engines(4, 2), states).prefiller is not None
 
 
 def test_an_engine_without_streams_reads_what_it_will_generate():
     """Prompts wait in a queue while an engine that generates has nothing to do."""
-    books = make_books()
+    states = make_books()
     for engine in ("e0", "e1", "e2", "e3"):
-        books.works.get(engine).seconds[0] = 0.5
-    placement = place(LONG, make_engines(4, 2), books)
+        states.works.get(engine).seconds[0] = 0.5
+    placement = place(LONG, make_engines(4, 2), states)
     assert placement.prefiller is None
 
 
@@ -86,22 +88,22 @@
 
     How long reading may take beside streams was stated for engines of one speed.
     """
-    books = make_books(slower=5)
-    books.works.get("e4").running = 1
+    states = make_books(slower=5)
+    states.works.get("e4").running = 1
     for engine in ("e0", "e1", "e2", "e3"):
-        books.works.get(engine).seconds[0] = 1.5
-    assert place(LONG, make_engines(4, 1), books).prefiller is not None
-    books.pauses["llm"] = timedelta(seconds=2)
-    assert place(LONG, make_engines(4, 1), books).prefiller is None
+        states.works.get(engine).seconds[0] = 1.5
+    assert place(LONG, make_engines(4, 1), states).prefiller is not None
+    states.pauses["llm"] = timedelta(seconds=2)
+    assert place(LONG, make_engines(4, 1), states).prefiller is None
 
 
 def test_a_short_prompt_does_not_queue_behind_long_ones():
     for slower in (0.2, 1, 5):
-        books = make_books(slower)
+        states = make_books(slower)
         for engine in ("e0", "e1", "e2", "e3"):
-            books.works.get(engine).seconds[0] = 0.2 * slower
-        books.works.get("e4").running = books.works.get("e5").running = 5
-        placement = place(SHORT, make_engines(4, 2), books)
+            states.works.get(engine).seconds[0] = 0.2 * slower
+        states.works.get("e4").running = states.works.get("e5").running = 5
+        placement = place(SHORT, make_engines(4, 2), states)
         assert placement.prefiller is None
 
 
@@ -111,43 +113,43 @@
 
 
 def test_an_engine_that_holds_the_shared_parts_is_chosen():
-    books = make_books()
+    states = make_books()
     engines = make_engines(4, 2)
-    books.prefixes.note("e2", Stage.PREFILL, hash_parts(LONG.shared_parts))
-    placement = place(LONG, engines, books)
+    states.prefixes.note("e2", Stage.PREFILL, hash_parts(LONG.shared_parts))
+    placement = place(LONG, engines, states)
     assert placement.reader.id == "e2"
     assert placement.holder is None
-    assert placement.read_seconds < 0.02
+    assert placement.prefill_seconds < 0.02
 
 
 def test_a_busy_holder_gives_its_parts_to_an_idle_engine():
-    books = make_books()
+    states = make_books()
     engines = make_engines(4, 2)
-    books.prefixes.note("e2", Stage.PREFILL, hash_parts(LONG.shared_parts))
-    books.works.get("e2").seconds[0] = 0.3
-    placement = place(LONG, engines, books)
+    states.prefixes.note("e2", Stage.PREFILL, hash_parts(LONG.shared_parts))
+    states.works.get("e2").seconds[0] = 0.3
+    placement = place(LONG, engines, states)
     assert placement.reader.id != "e2"
     assert placement.holder.id == "e2"
-    assert placement.read_seconds < 0.02
+    assert placement.prefill_seconds < 0.02
 
 
 def test_the_work_of_other_gateways_counts():
-    books = make_books()
+    states = make_books()
     engines = make_engines(2, 1)
     digest = PeerDigest("g2", 1, 1, 1, (EngineDigest("e0", (0.4,), 3),))
-    books.works.peers.hear(digest, NOW)
-    assert {place(LONG, engines, books).reader.id for _ in range(5)} == {"e1"}
+    states.works.peers.apply_digest(digest, NOW)
+    assert {place(LONG, engines, states).reader.id for _ in range(5)} == {"e1"}
 
 
 def test_a_late_prompt_waits_behind_all_others_and_they_not_for_it():
     """Callers are refused for the sake of prompts that are read behind theirs."""
-    books = make_books()
+    states = make_books()
     engines = make_engines(1, 1)
-    books.works.get("e1").running = 60
-    books.works.get("e0").seconds[7] = 0.5
+    states.works.get("e1").running = 60
+    states.works.get("e0").seconds[7] = 0.5
     parts = hash_parts(LONG.parts)
     waits = [
-        choose_engines(LONG, parts, engines, books, NOW, rank=rank).wait_seconds
+        choose_engines(LONG, parts, engines, states, NOW, rank=rank).wait_seconds
         for rank in (0, 6, 7, 9)
     ]
     assert waits == [0.0, 0.0, 0.5, 0.5]
@@ -158,11 +160,11 @@
 
     Engines read urgent prompts first, so that for these a busy engine looked idle.
     """
-    books = make_books()
+    states = make_books()
     engines = make_engines(2, 1)
-    books.works.get("e2").running = 60
-    books.works.get("e0").seconds[2] = 0.5
-    assert place(LONG, engines, books).reader.id == "e1"
+    states.works.get("e2").running = 60
+    states.works.get("e0").seconds[2] = 0.5
+    assert place(LONG, engines, states).reader.id == "e1"
 
 
 def test_gateways_that_know_nothing_choose_alike():
@@ -172,7 +174,7 @@
 
 
 def test_the_least_recently_used_parts_are_forgotten():
-    book = PrefixBook(capacity=10_000)
+    book = PrefixCaches(capacity=10_000)
     first, second, third = (((n, 4_000),) for n in range(3))
     for part in (first, second, first, third):
         book.note("e0", Stage.PREFILL, part)
@@ -186,43 +188,43 @@
     The only engine that generates is lost. One request in 0.7 s tries it; the others
     are told at once.
     """
-    books = make_books()
+    states = make_books()
     engines = make_engines(4, 1)
-    books.loads.note_unreachable("e4", NOW - timedelta(seconds=2))
-    assert place(LONG, engines, books) is not None
-    books.loads.note_unreachable("e4", NOW)
-    assert place(LONG, engines, books) is None
+    states.loads.note_unreachable("e4", NOW - timedelta(seconds=2))
+    assert place(LONG, engines, states) is not None
+    states.loads.note_unreachable("e4", NOW)
+    assert place(LONG, engines, states) is None
 
 
-def limit(books, engine, per_second):
+def limit(states, engine, per_second):
     """Have an engine name a limit, of which the next turn is as far as can be."""
-    books.limits.hear(engine, per_second, NOW)
+    states.limits.hear(engine, per_second, NOW)
 
 
 def test_what_an_engine_in_need_does_not_take_goes_to_another():
     """Guards against refusals while another engine that generates has room."""
-    books = make_books()
-    limit(books, "e4", 2.0)
+    states = make_books()
+    limit(states, "e4", 2.0)
     for engine in ("e4", "e5"):
-        books.works.get(engine).running = 20
-    books.works.get("e5").running = 30
-    placement = place(LONG, make_engines(4, 2), books)
-    assert (placement.decoder.id, placement.turn_seconds) == ("e5", 0.0)
+        states.works.get(engine).running = 20
+    states.works.get("e5").running = 30
+    placement = place(LONG, make_engines(4, 2), states)
+    assert (placement.decoder.id, placement.limit_wait_seconds) == ("e5", 0.0)
 
 
 def test_an_engine_in_need_is_used_when_its_turn_is_sooner_than_another_queue():
     """Guards against an engine at its limit that is treated like one that failed."""
-    books = make_books()
-    limit(books, "e4", 20.0)
-    books.works.get("e5").seconds[0] = 2.0
-    placement = place(LONG, make_engines(4, 2), books)
+    states = make_books()
+    limit(states, "e4", 20.0)
+    states.works.get("e5").seconds[0] = 2.0
+    placement = place(LONG, make_engines(4, 2), states)
     assert placement.decoder.id == "e4"
 
 
 def test_a_limit_of_all_that_generate_shows_as_a_turn_to_wait_for():
     """Guards against an answer that is promised in time and comes seconds late."""
-    books = make_books()
+    states = make_books()
     for engine in ("e4", "e5"):
-        limit(books, engine, 0.5)
-    placement = place(LONG, make_engines(4, 2), books)
-    assert placement.turn_seconds > 1.5
+        limit(states, engine, 0.5)
+    placement = place(LONG, make_engines(4, 2), states)
+    assert placement.limit_wait_seconds > 1.5
--- a/packages/mustardquay/tests/test_predictions.py
+++ b/packages/mustardquay/tests/test_predictions.py
@@ -10,7 +10,7 @@
     OutputLengths,
     PromptLengths,
     RateEstimator,
-    discount_queue,
+    estimate_queued_tokens,
 )
 from mustardquay.roles import RolePlanner, RoleRates, RoleSettings
 from mustardquay.routes import choose_upstream
@@ -104,7 +104,11 @@
 def test_an_older_report_says_less(earlier, later):
     view = make_view(0, queued_tokens=50_000, own_tokens=7)
     first, second = sorted((earlier, later))
-    assert discount_queue(view, span(first)) >= discount_queue(view, span(second)) >= 7
+    assert (
+        estimate_queued_tokens(view, span(first))
+        >= estimate_queued_tokens(view, span(second))
+        >= 7
+    )
 
 
 @CHECK
@@ -123,7 +127,7 @@
         number = numbers[engine] = numbers.get(engine, 0) + step
         name = f"e{engine}"
         index.apply(name, 1, [CacheEvent(number, stored, piece)])
-        assert 0.5 <= index.trust(name) <= 1.0
+        assert 0.5 <= index.confidence(name) <= 1.0
         assert index.expected_tokens(name, [piece]) <= 2000 * stored
     assert len(index) <= 24
     for engine in range(4):
--- a/packages/mustardquay/tests/test_sendings.py
+++ b/packages/mustardquay/tests/test_sendings.py
@@ -3,7 +3,7 @@
 
 import pytest
 
-from mustardquay.requests import SendEnd
+from mustardquay.requests import SendResult
 from mustardquay.routing_tables import Repeat, Route
 from mustardquay.sendings import NextStep, Sendings, decide_next
 
@@ -21,7 +21,7 @@
     return decide_next(route, sendings, end, status, left)
 
 
-@pytest.mark.parametrize("end", [SendEnd.BROKEN, SendEnd.CALLER_LEFT])
+@pytest.mark.parametrize("end", [SendResult.BROKEN, SendResult.CALLER_LEFT])
 @pytest.mark.parametrize("route", [ONCE, STREAM])
 def test_what_may_have_run_and_must_not_be_repeated_fails(route, end):
     """An alert goes out twice.
@@ -33,7 +33,7 @@
 
 
 @pytest.mark.parametrize("route", [ONCE, STREAM, AGAIN, RESUMABLE])
-@pytest.mark.parametrize("end", [SendEnd.NOT_RUN, SendEnd.NOT_SENT])
+@pytest.mark.parametrize("end", [SendResult.NOT_RUN, SendResult.NOT_SENT])
 def test_what_was_affirmed_not_to_have_run_is_sent_again(route, end):
     assert decide(route, end) is NextStep.SEND_AGAIN
 
@@ -45,24 +45,24 @@
     the last send was not run would be false.
     """
     route = replace(AGAIN, max_attempts=2)
-    step = decide(route, SendEnd.NOT_RUN, before=[SendEnd.BROKEN])
+    step = decide(route, SendResult.NOT_RUN, before=[SendResult.BROKEN])
     assert step is NextStep.FAIL
 
 
 def test_the_attempts_of_the_route_bound_the_sends():
     route = replace(ONCE, max_attempts=1)
-    assert decide(route, SendEnd.NOT_RUN) is NextStep.REFUSE
-    assert decide(route, SendEnd.NOT_SENT) is NextStep.SEND_AGAIN
+    assert decide(route, SendResult.NOT_RUN) is NextStep.REFUSE
+    assert decide(route, SendResult.NOT_SENT) is NextStep.SEND_AGAIN
 
 
 def test_a_failure_of_the_upstream_is_repeated_only_where_that_is_allowed():
-    assert decide(AGAIN, SendEnd.ANSWERED, 500) is NextStep.SEND_AGAIN
-    assert decide(AGAIN, SendEnd.ANSWERED, 404) is NextStep.PASS_ON
-    assert decide(ONCE, SendEnd.ANSWERED, 500) is NextStep.PASS_ON
+    assert decide(AGAIN, SendResult.ANSWERED, 500) is NextStep.SEND_AGAIN
+    assert decide(AGAIN, SendResult.ANSWERED, 404) is NextStep.PASS_ON
+    assert decide(ONCE, SendResult.ANSWERED, 500) is NextStep.PASS_ON
 
 
 def test_a_broken_stream_goes_on_only_where_it_may_be_resumed():
-    broken = SendEnd.BROKEN
+    broken = SendResult.BROKEN
     assert decide(RESUMABLE, broken, events_passed=True) is NextStep.RESUME
     assert decide(STREAM, broken, events_passed=True) is NextStep.FAIL
     assert decide(AGAIN, broken, events_passed=True) is NextStep.FAIL
@@ -70,10 +70,10 @@
 
 def test_nothing_is_sent_without_time_for_an_answer():
     short = timedelta(milliseconds=5)
-    assert decide(AGAIN, SendEnd.NOT_RUN, left=short) is NextStep.REFUSE
+    assert decide(AGAIN, SendResult.NOT_RUN, left=short) is NextStep.REFUSE
 
 
 def test_an_address_that_changed_hands_is_not_tried_for_ever():
-    other = SendEnd.OTHER_UPSTREAM
+    other = SendResult.OTHER_UPSTREAM
     assert decide(ONCE, other) is NextStep.SEND_AGAIN
     assert decide(ONCE, other, before=[other]) is NextStep.REFUSE
--- a/packages/mustardquay/tests/test_stop_bounds.py
+++ b/packages/mustardquay/tests/test_stop_bounds.py
@@ -2,14 +2,14 @@
 
 from datetime import timedelta
 
-from mustardquay.fleet_books import (
+from mustardquay.peer_availability import (
     MEMORY,
-    FleetBook,
-    find_return,
-    is_needed,
-    is_next_to_end,
+    PeerAvailability,
+    find_retry_delay,
+    is_still_routed,
+    may_stop_early,
 )
-from mustardquay.peer_books import DIGEST_LIFETIME, PeerDigest
+from mustardquay.peer_digests import DIGEST_LIFETIME, PeerDigest
 from mustardquay.route_times import LEAST_SAMPLES, RouteTimes
 
 SECOND = timedelta(seconds=1)
@@ -18,7 +18,7 @@
 
 def hear(book, name, now, zone="a", **changes):
     digest = PeerDigest(name, 1, 1, 1, availability_zone=zone, **changes)
-    book.hear(digest, now)
+    book.apply_digest(digest, now)
 
 
 def test_two_gateways_that_end_together_do_not_both_end_early():
@@ -31,12 +31,12 @@
     now, way = 3 * SECOND, 2 * MILLISECOND
     for late in range(0, 400):
         shifted = {name: end + late * MILLISECOND for name, end in ends.items()}
-        books = {"g1": FleetBook(), "g2": FleetBook()}
+        books = {"g1": PeerAvailability(), "g2": PeerAvailability()}
         hear(books["g1"], "g2", now + way, ends_in=shifted["g2"] - now, is_ready=False)
         hear(books["g2"], "g1", now + way, ends_in=shifted["g1"] - now, is_ready=False)
         later = now + 2 * way
         both = [
-            is_next_to_end(name, book.list_members(later))
+            may_stop_early(name, book.list_members(later))
             for name, book in books.items()
         ]
         assert sum(both) == 1, (late, both)
@@ -48,12 +48,12 @@
     A gateway that has been silent for longer than it usually takes to come back is
     expected in the past.
     """
-    book = FleetBook()
+    book = PeerAvailability()
     hear(book, "g2", timedelta())
     now = MEMORY - SECOND
     assert now > DIGEST_LIFETIME
     members = book.list_members(now)
-    assert find_return(members, now + 5 * SECOND, 9 * SECOND, now) > timedelta()
+    assert find_retry_delay(members, now + 5 * SECOND, 9 * SECOND, now) > timedelta()
 
 
 def test_a_longer_generation_is_not_held_for_a_short_one():
@@ -77,12 +77,12 @@
     successor, it goes on sending callers to all gateways of the zone, also to one
     that stops and takes nothing more since it has heard of the successor.
     """
-    book = FleetBook()
+    book = PeerAvailability()
     hear(book, "g2", SECOND, is_ready=False)
-    assert is_needed("a", book.list_members(SECOND))
+    assert is_still_routed("a", book.list_members(SECOND))
     ready = PeerDigest("g2", 2, 1, 1, availability_zone="a", is_ready=True)
-    book.hear(ready, 2 * SECOND)
-    assert is_needed("a", book.list_members(2 * SECOND + 50 * MILLISECOND))
+    book.apply_digest(ready, 2 * SECOND)
+    assert is_still_routed("a", book.list_members(2 * SECOND + 50 * MILLISECOND))
 
 
 def test_the_first_of_a_zone_of_a_large_fleet_knows_that_it_is_needed():
@@ -95,10 +95,10 @@
 
     names = [f"{zone}-{index:02}" for zone in "abc" for index in range(13)]
     own = "b-00"
-    book = FleetBook()
+    book = PeerAvailability()
     for name in names:
         if name != own and own in list_told(name, set(names) - {name}):
             stops = name.startswith("b") and name < "b-08"
             left = 5 * SECOND if stops else None
             hear(book, name, SECOND, name[0], is_ready=not stops, ends_in=left)
-    assert is_needed("b", book.list_members(SECOND))
+    assert is_still_routed("b", book.list_members(SECOND))
--- a/packages/mustardquay/tests/test_stop_fleets.py
+++ b/packages/mustardquay/tests/test_stop_fleets.py
@@ -7,8 +7,12 @@
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
 
 from mustardquay.clocks import VirtualClock
-from mustardquay.fleet_books import FleetBook, is_needed, is_next_to_end
-from mustardquay.peer_books import PeerDigest
+from mustardquay.peer_availability import (
+    PeerAvailability,
+    is_still_routed,
+    may_stop_early,
+)
+from mustardquay.peer_digests import PeerDigest
 from mustardquay.stops import (
     Demand,
     StopPlace,
@@ -29,7 +33,7 @@
 class Gateway:
     """One gateway: what it knows, and when its requests end at the latest."""
 
-    fleet: FleetBook = field(default_factory=FleetBook)
+    fleet: PeerAvailability = field(default_factory=PeerAvailability)
     times: StopTimes | None = None
     back_at: timedelta | None = None
     running: list[timedelta] = field(default_factory=list)
@@ -96,7 +100,7 @@
             )
             for other, gateway in self.gateways.items():
                 if other != name:
-                    gateway.fleet.hear(digest, now)
+                    gateway.fleet.apply_digest(digest, now)
 
     def look(self, name):
         gateway, now = self.gateways[name], self.clock.monotonic()
@@ -119,8 +123,8 @@
             return StopState.SERVING
         members = gateway.fleet.list_members(now)
         place = StopPlace(
-            is_needed(ZONES[name], members),
-            is_next_to_end(name, members),
+            is_still_routed(ZONES[name], members),
+            may_stop_early(name, members),
         )
         return find_state(gateway.times, now, len(gateway.running), place)
 
--- a/packages/mustardquay/tests/test_upstream_loads.py
+++ b/packages/mustardquay/tests/test_upstream_loads.py
@@ -3,7 +3,7 @@
 from random import Random
 
 from mustardquay.upstream_lists import UpstreamRecord
-from mustardquay.upstream_loads import LoadBook, choose_plain
+from mustardquay.upstream_loads import UpstreamLoads, choose_plain
 
 NOW = timedelta(seconds=50)
 
@@ -22,7 +22,7 @@
     goes on choosing it in turn.
     """
     upstreams = make_upstreams("a", "a", "a")
-    book = LoadBook()
+    book = UpstreamLoads()
     random = Random(1)
     sick_sends = 0
     for step in range(3000):
@@ -37,7 +37,7 @@
 
 def test_errors_that_all_upstreams_give_eject_nobody():
     upstreams = make_upstreams("a", "a", "a")
-    book = LoadBook()
+    book = UpstreamLoads()
     random = Random(2)
     for step in range(600):
         now = NOW + timedelta(milliseconds=10 * step)
@@ -48,7 +48,7 @@
 
 def test_the_shortest_queue_wins_and_the_own_zone_goes_first():
     upstreams = make_upstreams("a", "b", "b")
-    book = LoadBook()
+    book = UpstreamLoads()
     random = Random(3)
     chosen = Counter(
         choose_plain(upstreams, book, NOW, "a", random).id for _ in range(20)
@@ -61,7 +61,7 @@
 
 def test_when_all_are_ejected_a_place_is_still_not_refused():
     upstreams = make_upstreams("a")
-    book = LoadBook()
+    book = UpstreamLoads()
     book.note_unreachable("u0", NOW)
     assert choose_plain(upstreams, book, NOW, "a", Random(4)).id == "u0"
     assert choose_plain(upstreams, book, NOW, "a", Random(4), ["u0"]) is None
@@ -73,7 +73,7 @@
     An engine is lost for long, each try doubles its pause, and the pause grows past
     what a duration can hold.
     """
-    book = LoadBook()
+    book = UpstreamLoads()
     for step in range(2_000):
         now = NOW + timedelta(seconds=step)
         book.begin("u0")
@@ -83,7 +83,7 @@
 
 
 def test_an_upstream_out_of_reach_counts_as_lost_until_it_answers():
-    book = LoadBook()
+    book = UpstreamLoads()
     book.note_unreachable("u0", NOW)
     assert not book.is_lost("u0", NOW)
     later = NOW + timedelta(seconds=1)
