--- a/packages/mustardquay/src/mustardquay/decaying_fits.py
+++ b/packages/mustardquay/src/mustardquay/decaying_fits.py
@@ -16,8 +16,8 @@
 """Factor by which each new measurement reduces the weight of older ones: about 50
 count. At ten answers a second, a slowdown is detected within a few seconds."""
 ABOVE_WEIGHT = 0.3
-"""Weight of a measurement above the estimate, relative to one below it. Digests are
-tens of milliseconds old, so that about half of the measurements include an unknown
+"""Weight of a measurement above the estimate, relative to 1 for one below it. Digests
+are tens of milliseconds old, so that about half of the measurements include an unknown
 wait."""
 OUTLIER_SHARE = 0.5
 """Excess over the estimate, as a fraction of it, from which a measurement loses
