--- a/packages/mustardquay-cli/tests/test_commands.py
+++ b/packages/mustardquay-cli/tests/test_commands.py
@@ -69,7 +69,7 @@
     bad = tmp_path / "bad.ini"
     bad.write_text("[node]\nname = a\nkind = entry\naddress = localhost\n")
     result = site.run("settings", "check", SITE / "common.ini", bad, code=1)
-    assert f"{bad}: [node] address: must be an IP number" in result.stderr
+    assert f"{bad}: [node] address: must be an IP address" in result.stderr
     assert f"{bad}: [node] availability_zone: is missing; add it" in result.stderr
     shown = site.run("settings", "check", SITE / "common.ini", bad, "--json", code=1)
     assert len(json.loads(shown.stdout)[0]["faults"]) == 2
--- a/packages/mustardquay/src/mustardquay/__init__.py
+++ b/packages/mustardquay/src/mustardquay/__init__.py
@@ -1,4 +1,4 @@
-"""Decisions of the mustardquay serving system: data in, data out, no I/O."""
+"""Decision logic of the mustardquay serving system, free of I/O."""
 
 from importlib import import_module
 from typing import TYPE_CHECKING, Any
@@ -45,8 +45,8 @@
 
 
 def __getattr__(name: str) -> Any:
-    # Loaded when first asked for: each process imports this package for the modules
-    # in it, and a gateway uses no contracts and works.
+    # Imported on first access: every process imports this package to reach its
+    # modules, and a gateway, for one, needs neither contracts nor works.
     if name not in _PLACES:
         raise AttributeError(f"module {__name__!r} has no attribute {name!r}")
     return getattr(import_module(f".{_PLACES[name]}", __name__), name)
--- a/packages/mustardquay/src/mustardquay/clocks.py
+++ b/packages/mustardquay/src/mustardquay/clocks.py
@@ -1,4 +1,4 @@
-"""Clocks: the time that is passed in to everything that measures or waits."""
+"""Clocks, passed to all code that measures time or waits."""
 
 import time
 from datetime import UTC, datetime, timedelta
@@ -8,10 +8,10 @@
 
 
 class Clock(Protocol):
-    """A source of time; monotonic instants compare only within one process."""
+    """A source of time; monotonic times are comparable only within one process."""
 
     def now(self) -> datetime:
-        """Return the wall-clock time in UTC; for people and logs only."""
+        """Return the wall-clock time in UTC, for display and logs only."""
 
     def monotonic(self) -> timedelta:
         """Return the time since an arbitrary start; never goes back."""
@@ -32,18 +32,18 @@
 class SuspendClock(SystemClock):
     """A clock whose monotonic time also counts while the machine is suspended.
 
-    Guards against a holder of a lease that was suspended: by the usual monotonic time
-    its lease is still fresh when it wakes, and it would give orders beside its
-    successor.
+    With the usual monotonic clock, a lease holder that was suspended would still
+    consider its lease valid after resuming, and would give orders at the same time
+    as its successor.
     """
 
     def monotonic(self) -> timedelta:
-        """Return the time since the machine started."""
+        """Return the time since the machine booted, suspended time included."""
         return timedelta(seconds=time.clock_gettime(time.CLOCK_BOOTTIME))
 
 
 class VirtualClock:
-    """A clock that moves only when told to, for tests and benchmarks.
+    """A clock that advances only on request, for tests and benchmarks.
 
     >>> clock = VirtualClock()
     >>> clock.advance(timedelta(seconds=2))
@@ -56,11 +56,11 @@
         self._elapsed = timedelta()
 
     def now(self) -> datetime:
-        """Return the start plus all the advances."""
+        """Return the start time plus all advances."""
         return self._start + self._elapsed
 
     def monotonic(self) -> timedelta:
-        """Return the sum of all the advances."""
+        """Return the sum of all advances."""
         return self._elapsed
 
     def advance(self, duration: timedelta) -> None:
--- a/packages/mustardquay/src/mustardquay/contracts.py
+++ b/packages/mustardquay/src/mustardquay/contracts.py
@@ -1,4 +1,4 @@
-"""Contracts: what one customer may use, and how late it may be served."""
+"""Contracts: what a customer may use, and the latency that it tolerates."""
 
 from dataclasses import dataclass, field
 from datetime import timedelta
@@ -8,7 +8,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Lateness:
-    """The lateness that a customer tolerates."""
+    """The latency limits that a customer tolerates."""
 
     first_token: timedelta = timedelta(seconds=1.2)
     """From the arrival of the request to the first token of its answer."""
@@ -20,19 +20,19 @@
 
 @dataclass(frozen=True, slots=True)
 class Contract:
-    """The agreement with one customer, from which every limit follows."""
+    """The agreement with one customer, from which all its limits are derived."""
 
     customer: str
     key_hashes: tuple[str, ...]
     """SHA-256 digests, in hex, of the customer's bearer keys."""
     share: float
-    """Part of the fleet that the customer is entitled to, over 0 up to 1."""
+    """Fraction of the fleet that the customer is entitled to, above 0 and up to 1."""
     priority: int = 0
-    """Higher goes first where shares don't decide; 0 to 9."""
+    """0 to 9; higher is served first where the shares don't determine the order."""
     models: tuple[str, ...] = ()
     adapters: tuple[str, ...] = ()
     services: tuple[str, ...] = ()
-    """Plain services that the customer may call."""
+    """Services other than models that the customer may call."""
     lateness: Lateness = field(default_factory=Lateness)
     revision: int = 0
-    """Version of the configuration log that last wrote this contract."""
+    """Version of the configuration log that last changed this contract."""
--- a/packages/mustardquay/src/mustardquay/costs.py
+++ b/packages/mustardquay/src/mustardquay/costs.py
@@ -1,7 +1,7 @@
-"""Costs: what a planned change or release takes from the fleet.
+"""Costs: the capacity that a planned change or release takes from the fleet.
 
-The operator is told the cost, and a change under which the rest of the fleet can't
-honour the contracts is refused unless the operator accepts just that.
+The operator is shown the cost. A change that leaves too little capacity for the
+contracts is refused unless the operator explicitly accepts the overload.
 """
 
 from collections import defaultdict
@@ -25,12 +25,12 @@
 
 TOLERANCE = 1e-9
 SMALL_FLEET = 300
-"""Up to so many engines, spare engines are counted over all zones together."""
+"""Up to this many engines, spare engines are counted across all zones together."""
 
 
 @dataclass(frozen=True, slots=True)
 class FleetUpstream:
-    """One upstream as the capacity check sees it."""
+    """The properties of an upstream that the capacity check needs."""
 
     name: str
     availability_zone: str
@@ -38,27 +38,27 @@
     models: Mapping[str, str] = field(default_factory=dict)
     """Version by model."""
     rate: float = 1.0
-    """Its part in the fleet's work, in any unit that is the same for all."""
+    """Relative capacity, in any unit that is the same for all upstreams."""
 
 
 @dataclass(frozen=True, slots=True)
 class Cost:
-    """What a planned change takes away at its worst moment."""
+    """The capacity that a planned change takes at its worst moment."""
 
     upstreams: tuple[str, ...]
-    """All that the change will touch."""
+    """All upstreams that the change affects."""
     lost: float
-    """Largest part of the fleet's rate that is away at one time."""
+    """Largest fraction of the fleet's capacity that is unavailable at one time."""
     remaining: float
-    """Part of the fleet's rate that is left then, other changes counted too."""
+    """Fraction of the fleet's capacity that remains then, given all other changes."""
     entitled: float
     """Sum of the shares of all contracts."""
     missing_models: tuple[str, ...] = field(default=())
-    """Models of contracts that no upstream would serve."""
+    """Models named in contracts that no upstream would serve any more."""
 
     @property
     def is_covered(self) -> bool:
-        """Return whether the rest can honour every contract."""
+        """Return whether the remaining capacity covers every contract."""
         if self.missing_models:
             return False
         return self.entitled <= self.remaining + TOLERANCE
@@ -77,14 +77,14 @@
 def select_targets(
     change: PlannedChange, fleet: Iterable[FleetUpstream]
 ) -> tuple[str, ...]:
-    """Return the names of the upstreams that the change is about, sorted."""
+    """Return the sorted names of the upstreams that the change applies to."""
     return tuple(sorted(item.name for item in fleet if _is_target(change, item)))
 
 
 def compute_cost(
     change: PlannedChange, configuration: Configuration, fleet: Sequence[FleetUpstream]
 ) -> Cost:
-    """Return what the change takes, on top of the others that stand."""
+    """Return the cost of the change, on top of the other changes in force."""
     changes = configuration.changes.values()
     others = (item for item in changes if item.name != change.name)
     away: set[str] = set()
@@ -107,7 +107,7 @@
 
 
 def count_spare(shares: float, engines: int, accept_overload: bool) -> int:
-    """Return how many of so many equal engines the contracts can spare.
+    """Return how many of a number of equal engines the contracts can spare.
 
     >>> count_spare(0.75, 9, False), count_spare(1.0, 9, False)
     (2, 0)
@@ -121,10 +121,12 @@
 def check_costs(
     result: Configuration, edit: Edit, fleet: Sequence[FleetUpstream]
 ) -> list[Cost]:
-    """Return the costs of the edit's changes; `result` is what it would give.
+    """Return the costs of the changes in the edit.
 
-    Raises `DocumentError` for a change that names nothing or whose cost the
-    contracts don't cover and the operator does not accept.
+    `result` is the configuration after the edit.
+
+    Raises `DocumentError` for a change that matches no upstream, and for one that
+    leaves too little capacity for the contracts without `accept_overload`.
     """
     costs = []
     for amendment in edit.amendments:
@@ -143,7 +145,7 @@
     if not cost.upstreams:
         raise DocumentError(
             f"The change {change.name} names the {change.scope} {change.target}, "
-            "which has no upstream; mend the name."
+            "which has no upstream; correct the name."
         )
     if not cost.is_covered and not change.accept_overload:
         raise DocumentError(
@@ -193,11 +195,11 @@
 def _list_taken(
     change: PlannedChange, fleet: Sequence[FleetUpstream], away: set[str]
 ) -> set[str]:
-    """Return what the change takes at its worst moment, beside what is away."""
+    """Return what the change takes at its worst moment, besides those in `away`."""
     taken = set(select_targets(change, fleet)) - away
     if change.action is not Action.REPLACE:
         return taken
-    # One instance at a time: the worst moment is that of the largest one.
+    # Instances are replaced one at a time: the worst moment is that of the largest.
     instances: dict[str, set[str]] = defaultdict(set)
     rates: dict[str, float] = defaultdict(float)
     for item in fleet:
--- a/packages/mustardquay/src/mustardquay/documents.py
+++ b/packages/mustardquay/src/mustardquay/documents.py
@@ -1,7 +1,7 @@
-"""Documents: contracts and planned changes as operators write them.
+"""Documents: contracts and planned changes in the form that operators write.
 
 A document is an INI file (section `contract` with `lateness`, or `change`) or the
-same fields as JSON. Durations are in seconds, instants are ISO 8601 with a zone.
+same fields as JSON. Durations are in seconds, timestamps are ISO 8601 with a zone.
 """
 
 from collections.abc import Iterable
@@ -57,7 +57,7 @@
 
 
 def hash_keys(keys: Iterable[str], source: str) -> list[str]:
-    """Return the digests of bearer keys; raises `DocumentError` for bad ones."""
+    """Return the digests of bearer keys; raises `DocumentError` for invalid keys."""
     adapter = TypeAdapter(tuple[Key, ...])
     try:
         return [hash_key(key) for key in adapter.validate_python(tuple(keys))]
@@ -75,7 +75,7 @@
 
 
 def _refuse_number(value: Any) -> Any:
-    """Refuse seconds since 1970, which a mistyped time of day would pass for."""
+    """Reject numbers, as a mistyped time of day would pass for seconds since 1970."""
     if isinstance(value, int | float) or (
         isinstance(value, str) and value.replace(".", "").lstrip("+-").isdigit()
     ):
@@ -84,13 +84,13 @@
 
 
 class Document(BaseModel):
-    """Base of the models of documents: no unknown field, never changed."""
+    """Base class of documents: immutable, and without unknown fields."""
 
     model_config = ConfigDict(extra="forbid", frozen=True, hide_input_in_errors=True)
 
 
 class LatenessDocument(Document):
-    """Section `lateness`: how late answers may be, in seconds."""
+    """Section `lateness`: the tolerated latency of answers, in seconds."""
 
     first_token: Duration = Lateness().first_token
     between_tokens: Duration = Lateness().between_tokens
@@ -110,7 +110,7 @@
 
     customer: Name
     keys: Annotated[tuple[Key, ...], Words] = ()
-    """Bearer keys in plain; only their digests are kept."""
+    """Bearer keys in plain text, of which only digests are stored."""
     key_hashes: Annotated[tuple[Digest, ...], Words] = ()
     share: Annotated[float, Field(gt=0, le=1, allow_inf_nan=False)]
     priority: Annotated[int, Field(ge=0, le=9)] = 0
@@ -119,11 +119,11 @@
     services: Names = ()
     lateness: LatenessDocument = Field(default_factory=LatenessDocument)
     revision: Annotated[int, Field(ge=0)] = 0
-    """The revision that this document amends; 0 makes a new contract."""
+    """The revision that this document amends; 0 creates a contract."""
 
     @classmethod
     def from_contract(cls, contract: Contract) -> "ContractDocument":
-        """Return the document of a contract; its keys only as digests."""
+        """Return the document of a contract, with its keys as digests only."""
         return cls(
             customer=contract.customer,
             key_hashes=contract.key_hashes,
@@ -157,26 +157,26 @@
 
 
 class ChangeDocument(Document):
-    """Section `change`: a planned change to a part of the fleet."""
+    """Section `change`: a planned change to part of the fleet."""
 
     name: Name
     action: Action
     scope: Scope = Scope.UPSTREAM
     target: Annotated[str, Field(min_length=1)]
     starts_at: Annotated[AwareDatetime | None, BeforeValidator(_refuse_number)] = None
-    """None is at once."""
+    """None means at once."""
     accept_overload: bool = False
     revision: Annotated[int, Field(ge=0)] = 0
-    """The revision that this document amends; 0 makes a new planned change."""
+    """The revision that this document amends; 0 creates a planned change."""
 
     def to_change(self) -> PlannedChange:
-        """Return the data class, with its instant in UTC."""
+        """Return the data class, with its timestamp in UTC."""
         starts_at = self.starts_at and self.starts_at.astimezone(UTC)
         return PlannedChange(**(dict(self) | {"starts_at": starts_at}))
 
 
 def describe_change(change: PlannedChange) -> dict[str, Any]:
-    """Return a planned change's fields for JSON, its instant as ISO 8601."""
+    """Return a planned change's fields for JSON, its timestamp as ISO 8601."""
     return {
         "name": change.name,
         "action": change.action.value,
@@ -209,7 +209,7 @@
 
 
 def read_contract(text: str, source: str) -> ContractDocument:
-    """Return the contract that an INI text holds; `source` names it in errors.
+    """Parse a contract from INI text; errors name `source`.
 
     Raises `DocumentError`, which names source, section, field and remedy.
     """
@@ -221,7 +221,7 @@
 
 
 def read_change(text: str, source: str) -> ChangeDocument:
-    """Return the planned change that an INI text holds.
+    """Parse a planned change from INI text.
 
     Raises `DocumentError`, which names source, section, field and remedy.
     """
@@ -232,13 +232,13 @@
 def read_sections(
     text: str, source: str, needed: str, *others: str
 ) -> dict[str, dict[str, Any]]:
-    """Return the sections of an INI text, with the needed one and no unknown."""
+    """Parse INI text; section `needed` is required, and `others` are allowed."""
     parser = ConfigParser(interpolation=None)
     try:
         parser.read_string(text, source)
     except ConfigParserError as error:
         raise DocumentError(
-            f"{source}: is not an INI file; mend it: {error.message}"
+            f"{source}: is not a valid INI file; correct it: {error.message}"
         ) from None
     known = (needed, *others)
     for name in parser.sections():
@@ -255,9 +255,9 @@
 def check_document(
     model: type[Model], fields: Any, source: str, section: str = ""
 ) -> Model:
-    """Return the document that `fields` hold.
+    """Validate `fields` and return the document.
 
-    `section` names the top section when the fields came from an INI file. Raises
+    `section` names the top section if the fields come from an INI file. Raises
     `DocumentError`, which names source, field and remedy.
     """
 
--- a/packages/mustardquay/src/mustardquay/encodings.py
+++ b/packages/mustardquay/src/mustardquay/encodings.py
@@ -1,4 +1,4 @@
-"""Encodings: data classes as JSON values, checked on the way back."""
+"""Encodings: data classes as JSON, validated when decoded."""
 
 from functools import cache
 from typing import Any, TypeVar
@@ -23,7 +23,7 @@
 
 
 def decode(kind: type[T], value: Any) -> T:
-    """Return the data class; raises `ProtocolError` if the value is none."""
+    """Return the data class; raises `ProtocolError` if the value is invalid."""
     try:
         return _adapter(kind).validate_python(value)
     except ValidationError as error:
@@ -31,7 +31,7 @@
 
 
 def decode_bytes(kind: type[T], data: bytes) -> T:
-    """Return the data class; raises `ProtocolError` if the data is none."""
+    """Return the data class; raises `ProtocolError` if the data is invalid."""
     try:
         return _adapter(kind).validate_json(data)
     except ValidationError as error:
@@ -40,7 +40,7 @@
 
 def _fault(kind: type, error: ValidationError) -> ProtocolError:
     return ProtocolError(
-        f"This is not a valid {kind.__name__}, write it anew or run the version "
+        f"This is not a valid {kind.__name__}; rewrite it or run the version "
         f"that wrote it: {error}"
     )
 
--- a/packages/mustardquay/src/mustardquay/errors.py
+++ b/packages/mustardquay/src/mustardquay/errors.py
@@ -1,7 +1,7 @@
-"""Errors: typed kinds whose messages name the remedy.
+"""Exceptions and refusals, whose messages state the remedy.
 
-Faults of a setting, a document or the platform are raised. Expected refusals of
-work are returned as `Refusal` values, which say why and what the caller can do.
+Errors in settings, documents and the platform are raised. Expected refusals of
+work are returned as `Refusal` values, with the reason and what the caller can do.
 """
 
 from dataclasses import dataclass
@@ -22,35 +22,35 @@
 
 
 class MustardquayError(Exception):
-    """Base of the errors of this project; the message ends with the remedy."""
+    """Base class of all errors of this project; messages end with the remedy."""
 
 
 class SettingsError(MustardquayError):
-    """A settings file can't be used; names file, section, key and remedy."""
+    """A settings file is invalid; names the file, section, key and remedy."""
 
 
 class DocumentError(MustardquayError):
-    """A contract or planned change is not valid; names the field and remedy."""
+    """A contract or planned change is invalid; names the field and remedy."""
 
 
 class ConflictError(MustardquayError):
-    """An edit names a revision that is no longer the current one."""
+    """An edit is based on a revision that is no longer the current one."""
 
 
 class ProtocolError(MustardquayError):
-    """A peer sent something that its protocol does not allow."""
+    """A peer sent something that violates its protocol."""
 
 
 class StoreUnavailable(MustardquayError):
-    """The platform's service did not apply the call; it may be repeated."""
+    """The platform's service did not apply the call, which can be retried."""
 
 
 class StoreUnclear(MustardquayError):
-    """A write may or may not have been applied; read back before going on."""
+    """A write may or may not have been applied; read the rows before continuing."""
 
 
 class Reason(StrEnum):
-    """Why work was refused; each refusal with a reason is a true "not run"."""
+    """Why work was refused; refused work is guaranteed not to have run."""
 
     CONTRACT = "contract"
     DEADLINE = "deadline"
@@ -67,9 +67,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Refusal:
-    """Work that was not run and never will be under this attempt.
+    """Work that has not run and never will under this attempt.
 
-    `retry_after` is given where waiting helps; None means it does not.
+    `retry_after` is None when a later retry would not help.
     """
 
     reason: Reason
@@ -77,5 +77,5 @@
     retry_after: timedelta | None = None
 
     def __bool__(self) -> bool:
-        """Be false, so that `if not result` reads as "was refused"."""
+        """Return False, so that `if not result` means "was refused"."""
         return False
--- a/packages/mustardquay/src/mustardquay/events.py
+++ b/packages/mustardquay/src/mustardquay/events.py
@@ -1,4 +1,4 @@
-"""Events: one time line over all processes, ordered by hybrid logical clocks.
+"""Events: one timeline across all processes, ordered by hybrid logical clocks.
 
 Source of the clock: Kulkarni et al., "Logical Physical Clocks", OPODIS 2014.
 """
@@ -14,16 +14,16 @@
 
 
 class Stamp(NamedTuple):
-    """A hybrid logical time; stamps of cause and effect are in order."""
+    """A hybrid logical timestamp; a cause is always ordered before its effect."""
 
     physical: int
     """Microseconds since 1970 in UTC."""
     logical: int
-    """Orders stamps with the same physical part."""
+    """Counter that orders stamps with the same physical part."""
 
 
 class HybridClock:
-    """Gives stamps that never go back and follow every stamp received."""
+    """Gives increasing stamps, each later than every stamp received before."""
 
     def __init__(self, clock: Clock):
         self._clock = clock
@@ -39,7 +39,7 @@
         return self._last
 
     def merge(self, received: Stamp) -> None:
-        """Move past a stamp that came with a frame."""
+        """Advance past a stamp that was received with a frame."""
         if received > self._last:
             self._last = received
 
@@ -49,7 +49,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Event:
-    """One thing that happened in one process."""
+    """Something that happened in one process."""
 
     stamp: Stamp
     process: str
@@ -89,7 +89,7 @@
         upstream: str = "",
         **details: Any,
     ) -> Event:
-        """Stamp an event, keep it and pass it to the log writer."""
+        """Stamp an event, store it and pass it to the log writer."""
         stamp = self._clock.tick()
         event = Event(stamp, self._process, kind, request, customer, upstream, details)
         self._events.append(event)
@@ -98,7 +98,7 @@
         return event
 
     def list_events(self) -> list[Event]:
-        """Return the events that are still kept, oldest first."""
+        """Return the stored events, oldest first."""
         return list(self._events)
 
 
@@ -109,10 +109,9 @@
     upstream: str = "",
     kind: str = "",
 ) -> list[Event]:
-    """Return the events that match every filter given, in order of stamps.
+    """Return the events that match all given filters, ordered by stamp.
 
-    `kind` matches a kind and all that are below it: `attempt` matches
-    `attempt.sent`.
+    `kind` also matches the kinds below it: `attempt` matches `attempt.sent`.
     """
     chosen = [
         event
--- a/packages/mustardquay/src/mustardquay/faults.py
+++ b/packages/mustardquay/src/mustardquay/faults.py
@@ -1,4 +1,4 @@
-"""Faults: validation errors of typed models, told as fields with remedies."""
+"""Validation errors of pydantic models as messages with field and remedy."""
 
 from collections.abc import Callable, Mapping
 from typing import Any
@@ -8,10 +8,10 @@
 __all__ = ["INSTANT_REMEDY", "Locate", "describe_fault", "describe_faults"]
 
 Locate = Callable[[tuple[int | str, ...]], str]
-"""Names the place of a field for people, given its path in the model."""
+"""Returns the readable location of a field, given its path in the model."""
 
 INSTANT_REMEDY = (
-    "must be an instant with its zone; write one such as 2026-12-03T04:00:00Z"
+    "must be a timestamp with a time zone; write one such as 2026-12-03T04:00:00Z"
 )
 
 _REMEDIES = {
@@ -19,7 +19,7 @@
     "datetime_from_date_parsing": INSTANT_REMEDY,
     "datetime_parsing": INSTANT_REMEDY,
     "datetime_type": INSTANT_REMEDY,
-    "extra_forbidden": "is unknown; remove it or mend its spelling",
+    "extra_forbidden": "is unknown; remove it or correct its spelling",
     "float_parsing": "must be a number; write one such as 0.25",
     "float_type": "must be a number; write one such as 0.25",
     "finite_number": "must be a finite number; write one such as 0.25",
@@ -28,16 +28,16 @@
     "int_type": "must be a whole number; write one such as 8",
     "missing": "is missing; add it",
     "string_too_short": "must not be empty; write a value",
-    "string_type": "must be text; write it as one",
+    "string_type": "must be text; write it as a string",
     "timezone_aware": INSTANT_REMEDY,
 }
-"""What to do about a fault, by pydantic's type of it."""
+"""What is wrong and the remedy, by pydantic's error type."""
 
 
 def describe_faults(error: ValidationError, locate: Locate) -> str:
-    """Return one line for each fault: its place, what is wrong, the remedy.
+    """Return one line for each error: its location, what is wrong, the remedy.
 
-    The value itself is left out, since it may be a secret.
+    The value itself is omitted, since it may be a secret.
     """
     return "\n".join(
         f"{locate(fault['loc'])}: {describe_fault(fault)}."
@@ -63,4 +63,4 @@
             return "is empty; write at least one word"
         case "value_error":
             return str(context["error"]).rstrip(".")
-    return _REMEDIES.get(fault["type"]) or f"{fault['msg'].rstrip('.')}; mend it"
+    return _REMEDIES.get(fault["type"]) or f"{fault['msg'].rstrip('.')}; correct it"
--- a/packages/mustardquay/src/mustardquay/fields.py
+++ b/packages/mustardquay/src/mustardquay/fields.py
@@ -1,4 +1,4 @@
-"""Fields: types of single fields that settings and documents share."""
+"""Field types shared by settings and documents."""
 
 from datetime import timedelta
 from ipaddress import ip_address
@@ -22,7 +22,7 @@
 
 
 def split_words(value: Any) -> Any:
-    """Return the words of a text that commas or white space part.
+    """Split a text into words at commas and white space.
 
     >>> split_words("wien-nord, linz")
     ('wien-nord', 'linz')
@@ -33,9 +33,9 @@
 
 
 def read_duration(value: Any) -> timedelta:
-    """Return the duration that a number of seconds, or its text, stands for.
+    """Return the duration given as a number of seconds or as text.
 
-    Raises `ValueError` for anything else, so that `nan` can't slip through.
+    Raises `ValueError` for anything else, `nan` included.
 
     >>> read_duration("1.5")
     datetime.timedelta(seconds=1, microseconds=500000)
@@ -52,19 +52,19 @@
 
 
 def check_address(value: str) -> str:
-    """Return the address; raises `ValueError` unless it is an IP number."""
+    """Return the address; raises `ValueError` unless it is an IP address."""
     try:
         ip_address(value)
     except ValueError:
         raise ValueError(
-            "must be an IP number, as names are not looked up; write one such as "
+            "must be an IP address, as names are not resolved; write one such as "
             "127.0.0.1"
         ) from None
     return value
 
 
 def check_socket_address(value: str) -> str:
-    """Return the address; raises `ValueError` unless it is an IP number and a port.
+    """Return the address; raises `ValueError` unless it is an IP address and a port.
 
     >>> check_socket_address("127.0.0.1:8000")
     '127.0.0.1:8000'
@@ -77,15 +77,15 @@
         valid = False
     if not valid:
         raise ValueError(
-            "must be an IP number and a port; write one such as 127.0.0.1:8000"
+            "must be an IP address and a port; write one such as 127.0.0.1:8000"
         )
     return value
 
 
 def check_url(value: str) -> str:
-    """Return the URL without its last slash.
+    """Return the URL without a trailing slash.
 
-    Raises `ValueError` unless it is an HTTP URL whose host is an IP number.
+    Raises `ValueError` unless it is an HTTP URL whose host is an IP address.
 
     >>> check_url("http://127.0.0.1:8000/")
     'http://127.0.0.1:8000'
@@ -98,7 +98,7 @@
         valid = False
     if not valid or parts.query or parts.fragment or parts.username is not None:
         raise ValueError(
-            "must be a URL whose host is an IP number, as names are not looked up; "
+            "must be a URL whose host is an IP address, as names are not resolved; "
             "write one such as http://127.0.0.1:8000"
         )
     return value.rstrip("/")
@@ -111,7 +111,7 @@
 
 
 Words = BeforeValidator(split_words)
-"""Marks a field of several words, which an INI file writes on one line."""
+"""Marks a field that holds several words on one line of an INI file."""
 
 Duration = Annotated[
     timedelta,
--- a/packages/mustardquay/src/mustardquay/leases.py
+++ b/packages/mustardquay/src/mustardquay/leases.py
@@ -1,17 +1,18 @@
 """Leases: which process gives the orders of a control domain.
 
-A domain has two rows. The lease row names the holder, and is written only when
-the holder changes: its revision is the fence, and every control write has the
-condition that it is still the same. The beat row is written by each renewal. They
-are apart because conditions are on revisions: a fence in the row that beats would
-make each renewal refuse the holder's own writes.
-
-Nobody compares clocks. A challenger takes over only after it has itself seen the
-beat unchanged for a whole term on its own monotonic clock.
-
-A store that comes back from a copy may name a holder that was replaced since, or none.
-Nobody holds the lease then, whatever the rows say, until somebody has taken it over a
-whole term after learning of it: what the last holder ordered is out of date by then.
+A domain has two rows. The lease row names the holder and is written only when the
+holder changes. Its revision is the fence: every control write carries the condition
+that it is unchanged. The heartbeat row is written by each renewal. The rows are
+separate because conditions are on revisions: if renewals wrote the lease row, each
+would make the holder's own pending writes fail.
+
+Clocks of different processes are never compared. A candidate takes over only after
+the heartbeat row has not changed for a whole term on its own monotonic clock.
+
+After the store was restored from a copy, its rows may name a former holder or none.
+The lease then has no holder, whatever the rows say, until a candidate takes it over
+a whole term after it learned of the restore. By that time the orders of the previous
+holder are outdated.
 """
 
 from dataclasses import dataclass
@@ -24,20 +25,20 @@
 LEASES = "leases"
 BEATS = "beats"
 ERA_UNIT = 10**12
-"""What an era counts in the number of a fence: more versions than a store gives out in
-one, and still exact in JSON."""
+"""Weight of the era in a fence's number: above the versions that a store gives out in
+one era, and small enough that the number stays exact in JSON."""
 
 
 @dataclass(frozen=True, slots=True, order=True)
 class Fence:
-    """The order of holders: those of a later era of the store come later."""
+    """Fencing token of a lease holder, ordered by era of the store, then revision."""
 
     era: int
     revision: int
 
     @property
     def number(self) -> int:
-        """Return one number that rises from holder to holder.
+        """Return the fence as one number, which rises with each holder.
 
         >>> Fence(0, 101).number, Fence(2, 7).number
         (101, 2000000000007)
@@ -47,35 +48,36 @@
 
 @dataclass(frozen=True, slots=True)
 class LeaseRows:
-    """The two rows of a domain as they were read, lease first."""
+    """The two rows of a domain as read; the lease row is read first."""
 
     lease: Row | None
     beat: Row | None
     era: int = 0
-    """The era of the store in which they were read; 0 where it tells none."""
+    """The era of the store when they were read; 0 if the store reports none."""
 
     @property
     def fence(self) -> int:
-        """Return the fence of the present holder, 0 when there was none yet."""
+        """Return the fence of the current holder, 0 if there was none yet."""
         return 0 if self.lease is None else self.lease.revision
 
     @property
     def holder(self) -> str:
-        """Return the name of the holder, empty after a release."""
+        """Return the name of the holder; empty after a release."""
         return "" if self.lease is None else self.lease.value["holder"]
 
     @property
     def beat_revision(self) -> int:
-        """Return the revision of the beat row, 0 when there is none."""
+        """Return the revision of the heartbeat row, 0 if there is none."""
         return 0 if self.beat is None else self.beat.revision
 
 
 class Lease:
     """One candidate's view of the lease of one domain.
 
-    The caller reads the rows, passes them to `observe`, and carries out what
-    `propose` returns; the result goes to `settle`. A transaction whose answer was
-    lost needs no `settle`: the rows that are read next tell.
+    The caller reads the rows, passes them to `observe`, runs the transaction that
+    `propose` returns, and passes its result to `settle`. If the answer to a
+    transaction was lost, `settle` is not called: the rows that are read next show
+    whether it was applied.
     """
 
     def __init__(
@@ -85,11 +87,11 @@
         term: timedelta,
         validity: timedelta | None = None,
     ):
-        """Take the term after which a challenger takes over.
+        """Create a candidate; after `term` without renewal, another takes over.
 
-        `validity` is how long a renewal counts for the holder, the whole term unless
-        given. Where what is ordered knows no fence, it is shorter, so that the orders
-        of two holders are apart by the difference at least.
+        `validity` is how long a renewal is valid for the holder, by default the whole
+        term. Where the receivers of orders check no fence, it is shorter, so that at
+        least the difference lies between the orders of two holders.
         """
         self._domain = domain
         self._candidate = candidate
@@ -100,7 +102,7 @@
         self._fence = 0
         self._era: int | None = None
         self._is_disowned = False
-        """Whether the rows can't make this candidate the holder, by a return."""
+        """Whether a restore of the store prevents the rows from naming the holder."""
         self._valid_until: timedelta | None = None
         self._proposed_at = timedelta()
 
@@ -116,22 +118,23 @@
 
     @property
     def order_fence(self) -> Fence:
-        """Return the fence of the orders that this candidate gives."""
+        """Return the fence with which this candidate gives orders."""
         return Fence(self._era or 0, self._fence)
 
     def is_held(self, now: timedelta) -> bool:
-        """Return whether it is worth trying a control write.
+        """Return whether this candidate holds the lease by its own clock.
 
-        This spares the store useless writes. It is no authority: a process that
-        was paused just after this call is stopped by the condition on the fence.
+        This only avoids useless writes to the store. It guarantees nothing: the writes
+        of a process that was paused after this call are rejected by the condition on
+        the fence.
         """
         return self._valid_until is not None and now < self._valid_until
 
     def begin_era(self, era: int, now: timedelta) -> None:
-        """Hold nothing, as the store has come back from a copy.
+        """Drop the lease, as the store was restored from a copy.
 
-        Also the rows that name this candidate are no proof: another one may have
-        taken over since the copy was made, and order still.
+        Rows that name this candidate prove nothing either: another candidate may have
+        taken over since the copy was made, and may still be giving orders.
         """
         if self._era is not None and era <= self._era:
             return
@@ -142,10 +145,10 @@
         self._seen_since = now
 
     def observe(self, rows: LeaseRows, now: timedelta) -> None:
-        """Take in rows that were read; `now` is when the answer came.
+        """Process rows that were read; `now` is when the answer arrived.
 
-        Counting from the arrival, not from the request, can only make a
-        challenger wait longer.
+        Counting from the arrival instead of the request can only make a candidate
+        wait longer before it takes over.
         """
         if self._era is None:
             self._begin_first(rows, now)
@@ -162,14 +165,14 @@
             self._valid_until = None
 
     def propose(self, now: timedelta) -> Transaction | None:
-        """Return the renewal or the takeover that is due, or None."""
+        """Return the renewal or takeover that is due, or None."""
         rows = self._rows
         if rows is None:
             return None
         self._proposed_at = now
         if rows.holder == self._candidate and not self._is_disowned:
-            # Also after a takeover whose answer was lost: the row tells that it
-            # was applied, and only the renewal makes it count.
+            # Also reached after a takeover whose answer was lost: the row shows that
+            # it was applied, and the renewal then makes the lease valid.
             self._fence = rows.fence
             return self._build_renewal()
         is_free = not rows.holder and not self._is_disowned
@@ -178,10 +181,10 @@
         return None
 
     def _begin_first(self, rows: LeaseRows, now: timedelta) -> None:
-        """Take in the era of the first rows.
+        """Record the era of the first rows.
 
-        Guards against a process that starts after a return: no row at all may mean
-        that the copy is older than the first holder.
+        For a process that starts after a restore: a missing lease row may mean that
+        the copy is older than the first holder, not that the lease is free.
         """
         self._era = rows.era
         self._seen_since = now
@@ -193,9 +196,9 @@
         transaction: Transaction,
         now: timedelta | None = None,
     ) -> None:
-        """Take in the result of a transaction that `propose` returned.
+        """Process the result of a transaction that `propose` returned.
 
-        `now` is when its answer came; a store without eras needs none.
+        `now` is when its answer arrived; not needed for a store without eras.
         """
         now = self._proposed_at if now is None else now
         if not isinstance(result, Committed):
@@ -203,18 +206,18 @@
             self._rows = None
             return
         if result.era != (self._era or 0):
-            # Its conditions were on revisions that mean other writes there.
+            # Its conditions were on revisions that stand for other writes in that era.
             self.begin_era(result.era, now)
             return
         if transaction.writes[0].table == LEASES:
             self._fence = result.revisions[0]
             self._is_disowned = False
-        # From before the write: a slow answer must not make the term longer than
-        # what a challenger counts.
+        # Counted from before the write, so that a slow answer can't extend the lease
+        # beyond the term that other candidates wait.
         self._valid_until = self._proposed_at + self._validity
 
     def release(self) -> Transaction | None:
-        """Return the write that lets another take over at once, or None."""
+        """Return the write that lets another candidate take over at once, or None."""
         if self._valid_until is None:
             return None
         self._valid_until = None
@@ -251,8 +254,8 @@
 ) -> Transaction:
     """Return control writes that apply only while `fence` is the domain's fence.
 
-    A holder that was paused over its term and wakes up still believes it is in
-    charge; its write then meets a higher revision of the lease row and has no
-    effect.
+    A holder that was paused for longer than its term resumes without noticing the
+    takeover. The condition fails on the higher revision of the lease row, so that
+    its writes have no effect.
     """
     return Transaction((Condition(LEASES, domain, fence), *conditions), writes)
--- a/packages/mustardquay/src/mustardquay/logs.py
+++ b/packages/mustardquay/src/mustardquay/logs.py
@@ -1,8 +1,8 @@
-"""Logs: the configuration log as rows of tables and as snapshots.
+"""The configuration log as rows of a table and as snapshots.
 
-The rows are in one table. `head` holds the newest version, `entry/N` the entry of
-version N, `change/ID` the version under which a change id was accepted, and
-`snapshot` the version of the newest snapshot in the object store.
+All rows are in one table. `head` holds the newest version, `entry/N` the entry of
+version N, `change/ID` the version in which a change id was accepted, and `snapshot`
+the version of the newest snapshot in the object store.
 """
 
 from dataclasses import dataclass
@@ -39,14 +39,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Accepted:
-    """The edit is in the log at this version."""
+    """The edit is in the log, as this version."""
 
     version: int
 
 
 @dataclass(frozen=True, slots=True)
 class Overtaken:
-    """Another edit came first; check this one against the new head."""
+    """Another edit was accepted first; check this one against the new head."""
 
     version: int
     """Version of the new head."""
@@ -61,7 +61,7 @@
 
 
 def name_entry(version: int) -> str:
-    """Return the key of an entry; keys sort in the order of versions."""
+    """Return the key of an entry; keys sort by version."""
     return f"{ENTRY_PREFIX}{version:012d}"
 
 
@@ -71,17 +71,17 @@
 
 
 def read_version(row: Row | None) -> int:
-    """Return the version that a `head` or `snapshot` row holds; 0 if absent."""
+    """Return the version in a `head` or `snapshot` row; 0 if absent."""
     return 0 if row is None else int(row.value["version"])
 
 
 def build_transaction(head: Row | None, entry: Entry) -> Transaction:
-    """Move the head on to the entry, unless it moved or the change id is known.
+    """Return the transaction that appends the entry.
 
-    Sending the same transaction again is safe: the condition on `change/ID` lets
-    it apply once. A lost answer is therefore resolved by sending it again, which
-    also settles a first copy that is still under way: once the head has moved,
-    that copy can never apply.
+    It applies only if the head has not moved and the change id is not in the log.
+    The transaction is idempotent, as the condition on `change/ID` lets it apply only
+    once. If the answer was lost, send it again. This also decides the fate of a first
+    copy that is still in flight: once the head has moved, that copy can't apply.
     """
     change = CHANGE_PREFIX + entry.edit.change_id
     version = {"version": entry.version}
@@ -101,11 +101,11 @@
 def interpret_result(
     entry: Entry, result: Committed | Conflict
 ) -> Accepted | Overtaken:
-    """Return what a transaction's result says of the edit.
+    """Return what a transaction's result means for the edit.
 
-    A conflict shows the present row of each failed condition. When only the head
-    is among them, the change id is absent from the log and this transaction, with
-    every copy of it, can never apply.
+    A conflict holds the current row of each failed condition. If only the head is
+    among them, the change id is not in the log, and neither this transaction nor a
+    copy of it can ever apply.
     """
     if isinstance(result, Committed):
         return Accepted(entry.version)
@@ -129,7 +129,7 @@
 
 
 def decode_snapshot(data: bytes) -> Configuration:
-    """Return the configuration; raises `ProtocolError` if the data is none."""
+    """Return the configuration; raises `ProtocolError` if the data is invalid."""
     snapshot = decode_bytes(_Snapshot, data)
     owners = {
         key_hash: contract.customer
--- a/packages/mustardquay/src/mustardquay/machines.py
+++ b/packages/mustardquay/src/mustardquay/machines.py
@@ -1,8 +1,9 @@
-"""Machines: the steps by which an agent brings its engine to the desired state.
+"""State machine by which an agent brings its engine to the desired state.
 
-One order is in flight at a time, and the next one is sent only when the last is
-confirmed or the engine's real state was observed after the last can have had an
-effect. The machine has no I/O; its caller carries out the steps it decides on.
+One order is in flight at a time. The next one is sent only when the last is
+confirmed, or when the engine's actual state was observed after the last order could
+still have taken effect. The state machine does no I/O: its caller carries out the
+steps that it decides on.
 """
 
 from datetime import timedelta
@@ -16,24 +17,24 @@
 
 
 class Step(Enum):
-    """What the caller of the machine is to do next."""
+    """What the caller of the state machine has to do next."""
 
     CLAIM = "claim"
     """Write the claim row, then call `claim`."""
     DRAIN = "drain"
-    """Let the work that runs finish."""
+    """Let the running work finish."""
     REREAD = "reread"
     """Read the order row and the claim row, then call `reread`."""
     SEND = "send"
     """Send the order from `begin_order`, then call `end_order`."""
     WAIT = "wait"
-    """Do nothing until the engine was observed again."""
+    """Do nothing until the engine has been observed again."""
     STOP = "stop"
-    """Another agent has the engine: give it no orders any more."""
+    """Another agent has claimed the engine: send it no more orders."""
 
 
 class OrderAnswer(StrEnum):
-    """What became of an order that was sent."""
+    """The result of sending an order."""
 
     ACCEPTED = "accepted"
     BUSY = "busy"
@@ -42,12 +43,12 @@
 
 
 class OrderMachine:
-    """The steps of one agent.
+    """Decides the steps of one agent.
 
     `fencing` says whether the engine refuses an order with an old fencing number.
-    `longest_order` bounds the time in which an engine carries out an order.
-    `permit` bounds the time from the start of a reread to the moment at which the
-    engine has the order or never gets it; the caller abandons a slower call.
+    `longest_order` is the maximum time in which an engine carries out an order.
+    `permit` is the maximum time from the start of a reread until the engine either
+    has the order or will never get it; the caller cancels a slower call.
     """
 
     def __init__(self, fencing: bool, longest_order: timedelta, permit: timedelta):
@@ -71,17 +72,17 @@
 
     @property
     def incarnation(self) -> int:
-        """Return the revision of the claim row, 0 before it was written."""
+        """Return the revision of the claim row, 0 until it has been written."""
         return self._incarnation
 
     @property
     def state(self) -> EngineState | None:
-        """Return the state that was last observed, or None when it is unknown."""
+        """Return the state last observed, or None if it is unknown."""
         return self._state
 
     @property
     def row(self) -> OrderRow | None:
-        """Return the newest order row that was read."""
+        """Return the newest order row read."""
         return self._row
 
     @property
@@ -91,7 +92,7 @@
 
     @property
     def reached(self) -> bool:
-        """Return whether the engine is settled and what the order row asks for."""
+        """Return whether the engine is stable and matches the order row."""
         if not self._is_settled() or not self._row_read:
             return False
         return self._row is None or matches_desired(self._state, self._row.desired)
@@ -104,31 +105,31 @@
         if self._row is not None and not self._row.desired.serving:
             return False
         if not self._incarnation or not self._row_read:
-            # The store is out of reach since this agent started. An engine that
-            # has carried out an order is in a known state and goes on serving.
+            # The store has been unreachable since this agent started. An engine that
+            # has carried out an order is in a known state and continues to serve.
             return self._state.generation > 0
         if self._asked_at < self._settled_at:
             return False
         if self.reached:
             return True
-        # An order was announced, and the store went down before it was reread. It
-        # can't be given now, so the engine serves as it did before.
+        # A new order row was read, and the store failed before the reread. The order
+        # can't be sent now, so the engine serves as before.
         return not self._store_up and self._state.boot == self._reached_boot
 
     def claim(self, incarnation: int, now: timedelta) -> None:
-        """Take in that the claim row was written at this revision."""
+        """Record that the claim row was written with this revision."""
         self._incarnation = incarnation
-        # The agent before this one may have read the rows just before the claim,
-        # and its order arrives within the permit. An engine that refuses old
-        # fencing numbers has not seen ours yet, so this holds for both kinds.
+        # The previous agent may have read the rows just before the claim, and its
+        # order can still arrive within the permit. This applies to both kinds of
+        # engine: one that checks fencing numbers has not received ours yet.
         self._settled_at = now + self._permit if incarnation > 1 else now
 
     def note_store(self, available: bool) -> None:
-        """Take in whether the store answers."""
+        """Record whether the store answers."""
         self._store_up = available
 
     def note_row(self, row: OrderRow | None) -> None:
-        """Take in the order row as it was read; an older one is ignored."""
+        """Record an order row that was read; an older one is ignored."""
         self._row_read = True
         if row is None:
             return
@@ -136,17 +137,17 @@
             self._row = row
 
     def reread(self, row: OrderRow | None, claim: int, started: timedelta) -> None:
-        """Take in both rows read for an order; `started` is before the reading."""
+        """Record both rows as reread for an order; `started` is when that began."""
         self.note_row(row)
         if claim == self._incarnation:
             self._reread_at = started
         else:
-            # Another agent claimed the engine while this one was paused or cut
-            # off: an order from here could run into one of its orders.
+            # Another agent claimed the engine while this one was paused or partitioned
+            # from the store: an order from here could conflict with one of its orders.
             self._superseded = True
 
     def observe(self, state: EngineState | None, asked_at: timedelta) -> None:
-        """Take in the engine's answer, or None when it gave none."""
+        """Record the state that the engine reported, None if it did not answer."""
         self._state = state
         if state is None:
             return
@@ -159,7 +160,7 @@
             self._reached_boot = state.boot
 
     def decide(self, now: timedelta, idle: bool = True) -> Step:
-        """Return the next step; `idle` says that no request runs on the engine."""
+        """Return the next step; `idle` means that no request runs on the engine."""
         if self._superseded:
             return Step.STOP
         if not self._incarnation:
@@ -175,16 +176,16 @@
         return Step.REREAD
 
     def get_permit(self, now: timedelta) -> timedelta:
-        """Return the time that is left for sending an order."""
+        """Return the time left for sending an order."""
         if self._reread_at is None:
             return ZERO
         return max(self._reread_at + self._permit - now, ZERO)
 
     def begin_order(self, now: timedelta, idle: bool = True) -> Order | None:
-        """Return the order to send at once, or None if its time is over.
+        """Return the order to send at once, or None if the permit has expired.
 
-        A process that was paused since the reread gets None and reads again. The
-        caller gives the call at most `get_permit(now)`.
+        A process that was paused after the reread gets None and rereads the rows. The
+        caller limits the call to `get_permit(now)`.
         """
         if self.decide(now, idle) is not Step.SEND:
             return None
@@ -195,7 +196,7 @@
         return self._order
 
     def end_order(self, answer: OrderAnswer, now: timedelta) -> None:
-        """Take in what became of the order."""
+        """Record the result of sending the order."""
         self._reread_at = None
         if answer is OrderAnswer.ACCEPTED:
             self._accepted = True
@@ -214,18 +215,18 @@
         if state.changing or asked_at <= self._sent_at:
             return False
         if self._accepted:
-            # Carried out, or lost in a crash of the engine: it can't come again.
+            # Carried out, or lost in a crash of the engine: it can't take effect later.
             return True
         generation = self._order.generation
         if state.generation == generation and self._sent_over != generation:
             return True
-        # The answer was lost, and perhaps the order with it. It may still be under
-        # way, so the state counts only when it was asked for after the permit.
+        # The answer was lost, and possibly the order too. The order may still be in
+        # flight, so only a state that was requested after the permit is conclusive.
         return asked_at >= self._sent_at + self._permit
 
     def _is_quiet(self) -> bool:
-        # The longest order on top guards against an engine of the kind that
-        # ignores fencing numbers and shows too late that it is changing.
+        # An engine that ignores fencing numbers may be late to report that it is
+        # carrying out an order, so the time of the longest order is added.
         if self._fencing:
             return self._asked_at >= self._settled_at
         if self._incarnation == 1:
--- a/packages/mustardquay/src/mustardquay/members.py
+++ b/packages/mustardquay/src/mustardquay/members.py
@@ -1,9 +1,9 @@
-"""Members: the lagging instance list joined with heartbeats.
+"""Membership: the instance list, which lags, combined with heartbeats.
 
-Each entry links to a bounded subset of the agents. The choice is made from the
-agent's side, by rendezvous hash, so that every agent has several entries, of its
-own availability zone while there are any. Source of the hash: Thaler and
-Ravishankar, "Using Name-Based Mappings to Increase Hit Rates", 1998.
+Each entry links to a bounded subset of the agents. The subset is chosen from the
+agent's side by rendezvous hashing, so that every agent has several entries, from its
+own availability zone if there are any. Rendezvous hashing: Thaler and Ravishankar,
+"Using Name-Based Mappings to Increase Hit Rates", 1998.
 """
 
 from collections import defaultdict
@@ -25,14 +25,14 @@
 ]
 
 COPIES = 3
-"""Entries that every agent has at least, while there are as many."""
+"""Minimum number of entries linked to each agent, if there are that many."""
 READERS = 3
-"""Entries of a zone that poll the head of the configuration log."""
+"""Number of entries of a zone that poll the head of the configuration log."""
 
 
 @dataclass(frozen=True, slots=True)
 class Instance:
-    """One line of the platform's instance list."""
+    """An item of the platform's instance list."""
 
     name: str
     kind: Literal["entry", "agent"]
@@ -43,14 +43,14 @@
 
 
 class MemberState(StrEnum):
-    """What is known of an instance."""
+    """The state of an instance, from the list and its heartbeats."""
 
     LISTED = "listed"
-    """On the list and never heard."""
+    """On the list, without any heartbeat so far."""
     LIVE = "live"
     LEAVING = "leaving"
     SILENT = "silent"
-    """Was heard and is not any more."""
+    """Its heartbeats have stopped."""
 
 
 @dataclass(slots=True)
@@ -62,11 +62,11 @@
 
 
 class Membership:
-    """The list and the heartbeats as one process has them.
+    """The instance list and the heartbeats that one process has received.
 
-    What an instance says of itself goes before the list, which lags: one that says
-    that it leaves gets no new work though the list still shows it, and one that is
-    heard is kept though the list does not show it yet.
+    Heartbeats take precedence over the list, which lags: an instance that announces
+    that it is leaving gets no new work although it is still listed, and one that sends
+    heartbeats is kept although it is not listed yet.
     """
 
     def __init__(self, silence: timedelta):
@@ -74,7 +74,7 @@
         self._members: dict[str, _Member] = {}
 
     def update(self, instances: Iterable[Instance], now: timedelta) -> None:
-        """Take in a new list."""
+        """Replace the instance list."""
         listed = {instance.name: instance for instance in instances}
         for name, instance in listed.items():
             self._members.setdefault(name, _Member()).instance = instance
@@ -83,11 +83,11 @@
                 del self._members[name]
 
     def hear(self, name: str, incarnation: int, leaving: bool, now: timedelta) -> None:
-        """Take in a heartbeat; `incarnation` rises when the process is replaced.
+        """Record a heartbeat; `incarnation` rises when the process is replaced.
 
-        Heartbeats of one incarnation must come in their order, as they do on links,
-        so that a drain that was ended is seen as such. Those of an older incarnation
-        are ignored: a link that was forgotten may still hold some.
+        Heartbeats of one incarnation must arrive in order, as they do on links, so that
+        the end of a drain is recognised. Those of an older incarnation are ignored: an
+        abandoned link may still deliver some.
         """
         member = self._members.setdefault(name, _Member())
         if incarnation < member.incarnation:
@@ -97,7 +97,7 @@
         member.heard_at = now
 
     def get_state(self, name: str, now: timedelta) -> MemberState | None:
-        """Return the state of an instance, or None when nothing is known."""
+        """Return the state of an instance, or None if it is unknown."""
         member = self._members.get(name)
         if member is None:
             return None
@@ -113,7 +113,7 @@
     def list_instances(
         self, kind: Literal["entry", "agent"], now: timedelta
     ) -> list[Instance]:
-        """Return the instances to link to, by name; without those that leave."""
+        """Return the instances to link to, sorted by name, without leaving ones."""
         chosen = []
         for name in sorted(self._members):
             instance = self._members[name].instance
@@ -136,8 +136,8 @@
 ) -> list[Instance]:
     """Return the agents that the entry `name` links to.
 
-    `limit` is the mean number of links that an entry of the zone may have; it is
-    exceeded where every agent could not have `COPIES` entries otherwise.
+    `limit` is the mean number of links allowed for an entry of the zone. It is
+    exceeded where agents would otherwise have fewer than `COPIES` entries.
     """
     entry_zones = _group(entries)
     agent_zones = _group(agents)
@@ -159,7 +159,7 @@
 def choose_readers(
     entries: Iterable[Instance], zone: str, count: int = READERS, seed: int = 0
 ) -> list[str]:
-    """Return the names of the entries of a zone that read the log for it."""
+    """Return the names of the entries that read the log on behalf of a zone."""
     pool = [entry for entry in entries if entry.availability_zone == zone]
     return _rank(pool, f"readers/{zone}", seed)[:count]
 
@@ -169,8 +169,8 @@
 ) -> list[str]:
     """Return the zones with agents for whose lease the entry `name` competes.
 
-    Entries of the zone do while there are enough; others help out in the same way
-    as they link to its agents, so that a zone without entries has a holder too.
+    These are entries of the zone if there are enough, otherwise also entries of other
+    zones, chosen as for links to agents: a zone without entries has a holder too.
     """
     entry_zones = _group(entries)
     chosen = []
@@ -191,10 +191,10 @@
 def _pool_entries(
     zone: str, entry_zones: dict[str, list[Instance]], seed: int
 ) -> list[Instance]:
-    """The entries of the zone; when they are too few, those of others besides.
+    """Return the entries of the zone, plus those of other zones if too few.
 
-    Whole zones are taken over in the order of a hash, so that an entry needs to
-    look only at the few zones that it helps.
+    Whole zones are added in the order of a hash, so that an entry serves only a few
+    other zones.
     """
     pool = list(entry_zones.get(zone, ()))
     if len(pool) >= COPIES:
--- a/packages/mustardquay/src/mustardquay/orders.py
+++ b/packages/mustardquay/src/mustardquay/orders.py
@@ -1,8 +1,9 @@
 """Orders: the desired state of each engine, as rows of tables.
 
-An order row holds what an engine should be, not what to do: after any crash the
-agent observes the engine and goes on from there. The rows of a control domain have
-a common prefix. How an agent reaches the desired state is in `machines`.
+An order row is declarative: it holds the state an engine should have, not the steps
+to reach it. After any crash the agent observes the engine and continues from there.
+The keys of a control domain's rows have a common prefix. `machines` decides how an
+agent reaches the desired state.
 """
 
 from collections.abc import Mapping
@@ -31,19 +32,19 @@
 
 @dataclass(frozen=True, slots=True)
 class Claim:
-    """An engine's row in `engine_claims`: the agent that may give it orders.
+    """An engine's row in `engine_claims`: the agent that may send it orders.
 
-    The revision of the row is the agent's incarnation, and the fencing number of
-    its orders.
+    The revision of the row is the agent's incarnation and the fencing number of its
+    orders.
     """
 
     agent: str
-    """Unique for each start of a process."""
+    """Unique for each start of the process."""
 
 
 @dataclass(frozen=True, slots=True)
 class Desired:
-    """What an engine should be."""
+    """The desired state of an engine."""
 
     role: Role = Role.MIXED
     models: Mapping[str, str] = field(default_factory=dict)
@@ -61,7 +62,7 @@
     """Rises with each write."""
     desired: Desired
     cause: str = ""
-    """Planned change, release or decision for which the row was written."""
+    """Planned change, release or decision that caused the write."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -69,11 +70,11 @@
     """An engine's row in `engine_reports`, written by its agent when it changes."""
 
     generation: int
-    """Generation of the order row that was reached; 0 before the first."""
+    """Generation of the order row last reached; 0 before the first."""
     ready: bool
     """Whether the engine may get requests."""
     empty: bool = False
-    """Whether it is drained and no request runs."""
+    """Whether the engine is drained and no request runs."""
     role: Role = Role.MIXED
     models: Mapping[str, str] = field(default_factory=dict)
     adapters: tuple[str, ...] = ()
@@ -82,12 +83,12 @@
 
 @dataclass(frozen=True, slots=True)
 class EngineState:
-    """What an engine says that it is."""
+    """The state that an engine reports."""
 
     boot: str
     """Changes each time the engine starts."""
     generation: int
-    """Of the last order that was carried out since the start, or 0."""
+    """Generation of the last order carried out since the start, or 0."""
     role: Role
     models: Mapping[str, str]
     adapters: tuple[str, ...] = ()
@@ -99,7 +100,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Order:
-    """What is sent to an engine."""
+    """An order as it is sent to an engine."""
 
     fence: int
     generation: int
@@ -116,7 +117,7 @@
 
 
 def matches_desired(state: EngineState, desired: Desired) -> bool:
-    """Return whether the engine is what it should be."""
+    """Return whether the engine has the desired role, models and adapters."""
     return (
         state.role == desired.role
         and dict(state.models) == dict(desired.models)
--- a/packages/mustardquay/src/mustardquay/plans.py
+++ b/packages/mustardquay/src/mustardquay/plans.py
@@ -1,4 +1,4 @@
-"""Plans: changes to the fleet that operators announce ahead."""
+"""Plans: changes to the fleet that operators announce in advance."""
 
 from dataclasses import dataclass
 from datetime import datetime
@@ -8,18 +8,18 @@
 
 
 class Action(StrEnum):
-    """What a planned change does to each upstream that it names."""
+    """What a planned change does to each of its upstreams."""
 
     DRAIN = "drain"
-    """Take no new work and stay, until the change is removed."""
+    """Drain, and keep running without new work until the change is removed."""
     REPLACE = "replace"
     """Drain, then let the platform restart the instance, then serve again."""
     WITHDRAW = "withdraw"
-    """Drain, and never serve again while the change stands."""
+    """Drain, and don't serve again while the change is in force."""
 
 
 class Scope(StrEnum):
-    """What the target of a planned change names."""
+    """What kind of thing the target of a planned change names."""
 
     UPSTREAM = "upstream"
     INSTANCE = "instance"
@@ -28,7 +28,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PlannedChange:
-    """A change that operators announce; in force while it stands in the log."""
+    """A change that operators announce, in force until removed from the log."""
 
     name: str
     action: Action
@@ -36,25 +36,25 @@
     target: str
     """Name of the upstream, instance or availability zone."""
     starts_at: datetime | None = None
-    """Wall-clock time in UTC before which nothing is done; None is at once."""
+    """Wall-clock time in UTC at which the change begins; None means at once."""
     accept_overload: bool = False
-    """Whether the operator accepts that the rest can't honour every contract."""
+    """Whether the operator accepts too little capacity for the contracts."""
     revision: int = 0
-    """Version of the configuration log that last wrote this change."""
+    """Version of the configuration log that last set this change."""
 
 
 @dataclass(frozen=True, slots=True)
 class Release:
-    """The version of a model that engines are to serve, and the way back."""
+    """The version of a model that engines should serve, and the one before it."""
 
     model: str
     version: str
     previous: str = ""
-    """Version that is kept in the weight store until the roll-out is over."""
+    """Version for rollback, kept in the weight store until the rollout ends."""
     adapters: tuple[str, ...] = ()
     availability_zones: tuple[str, ...] = ()
-    """Where this version is to be served; empty means in all."""
+    """Zones that should serve this version; empty means all."""
     accept_overload: bool = False
-    """Whether engines may be taken one at a time though contracts can't spare any."""
+    """Whether engines may be updated one at a time although none can be spared."""
     revision: int = 0
-    """Version of the configuration log that last wrote this release."""
+    """Version of the configuration log that last set this release."""
--- a/packages/mustardquay/src/mustardquay/records.py
+++ b/packages/mustardquay/src/mustardquay/records.py
@@ -1,4 +1,4 @@
-"""Records: events as JSON objects, for log files and the admin port."""
+"""Event records: events as JSON objects, for log files and the admin port."""
 
 from collections.abc import Mapping
 from typing import Any
@@ -29,9 +29,9 @@
 
 
 def parse_event(record: Any) -> Event:
-    """Return the event of a JSON object.
+    """Return the event that a JSON object describes.
 
-    Raises `ProtocolError` when it is not one.
+    Raises `ProtocolError` if it does not describe one.
     """
     match record:
         case {
--- a/packages/mustardquay/src/mustardquay/releases.py
+++ b/packages/mustardquay/src/mustardquay/releases.py
@@ -1,4 +1,4 @@
-"""Releases: which version of a model the fleet serves, as operators write it."""
+"""Releases: documents that set which version of a model the fleet serves."""
 
 from typing import Annotated, Any
 
@@ -13,18 +13,18 @@
 
 
 class ReleaseDocument(Document):
-    """Section `release`: a version of a model, and the way back."""
+    """Section `release`: a version of a model, and the one to roll back to."""
 
     model: Text
     version: Text
     previous: Annotated[str, StringConstraints(pattern=r"^[!-~]{0,200}$")] = ""
-    """Version that is kept until the roll-out is over; empty if there is none."""
+    """Version kept for rollback until the rollout ends; empty for none."""
     adapters: Texts = ()
     availability_zones: Texts = ()
-    """Where the version is to be served; empty means in all."""
+    """Zones that should serve the version; empty means all."""
     accept_overload: bool = False
     revision: Annotated[int, Field(ge=0)] = 0
-    """The revision that this document amends; 0 makes a new release."""
+    """The revision that this document amends; 0 creates a release."""
 
     def to_release(self) -> Release:
         """Return the data class."""
@@ -45,7 +45,7 @@
 
 
 def read_release(text: str, source: str) -> ReleaseDocument:
-    """Return the release that an INI text holds.
+    """Parse a release from INI text.
 
     Raises `DocumentError`, which names source, section, field and remedy.
     """
--- a/packages/mustardquay/src/mustardquay/revisions.py
+++ b/packages/mustardquay/src/mustardquay/revisions.py
@@ -1,8 +1,8 @@
-"""Revisions: the configuration, and the edits that move it on by one version.
+"""Revisions: the configuration, and the edits that advance it by one version.
 
-The configuration is the sum of an append-only log. An edit names the revision of
-each item that it amends, so that of two racing operators one wins and the other
-is shown the conflict. How the log is kept in tables is in `logs`.
+The configuration results from the entries of an append-only log. An edit states the
+revision of each item that it amends, so that of two concurrent edits one succeeds and
+the other gets a conflict. `logs` maps the log to rows of tables.
 """
 
 from collections.abc import Iterable, Mapping
@@ -39,14 +39,14 @@
     name: str
     """Customer."""
     revision: int
-    """Revision of the contract that is amended; 0 when there is none."""
+    """Revision of the amended contract; 0 if there is none yet."""
     value: Contract | None
     kind: Literal["contract"] = "contract"
 
 
 @dataclass(frozen=True, slots=True)
 class ChangeAmendment:
-    """Announces a planned change, or takes it back when the value is None."""
+    """Announces a planned change, or withdraws it when the value is None."""
 
     name: str
     revision: int
@@ -56,7 +56,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ReleaseAmendment:
-    """Sets the version of a model, or ends its service when the value is None."""
+    """Sets the version of a model, or removes the release when the value is None."""
 
     name: str
     """Model."""
@@ -73,17 +73,17 @@
 
 @dataclass(frozen=True, slots=True)
 class Edit:
-    """Amendments that one operator wants in force together, or not at all."""
+    """Amendments of one operator that are applied atomically."""
 
     change_id: str
-    """Unique; an edit that is sent again under it is applied once."""
+    """Unique idempotency key: an edit sent again with the same id is applied once."""
     author: str
     amendments: tuple[Amendment, ...]
 
 
 @dataclass(frozen=True, slots=True)
 class Entry:
-    """An accepted edit; `version` is its place in the log, from 1."""
+    """An accepted edit; `version` is its position in the log, from 1."""
 
     version: int
     edit: Edit
@@ -91,7 +91,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Catalogue:
-    """What the fleet has, beside the releases in the configuration."""
+    """What the fleet provides in addition to the configured releases."""
 
     models: frozenset[str] = frozenset()
     adapters: frozenset[str] = frozenset()
@@ -100,7 +100,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Configuration:
-    """All the contracts, planned changes and releases at one version."""
+    """All contracts, planned changes and releases at one version."""
 
     version: int = 0
     contracts: Mapping[str, Contract] = field(default_factory=dict)
@@ -110,7 +110,7 @@
     releases: Mapping[str, Release] = field(default_factory=dict)
     """By model."""
     owners: Mapping[str, str] = field(default_factory=dict, repr=False)
-    """Customer by hash of its key."""
+    """Customer by hash of its bearer key."""
 
     def find_customer(self, key_hash: str) -> Contract | None:
         """Return the contract whose bearer key has this hash, in constant time."""
@@ -120,7 +120,7 @@
         return self.contracts[customer]
 
     def find_revision(self, amendment: Amendment) -> int:
-        """Return the present revision of what the amendment names, 0 if absent."""
+        """Return the current revision of the amended item, 0 if absent."""
         item = self._items(amendment.kind).get(amendment.name)
         return 0 if item is None else item.revision
 
@@ -135,13 +135,13 @@
 def apply_entry(configuration: Configuration, entry: Entry) -> Configuration:
     """Return the configuration after the entry, which must be the next one.
 
-    Raises `ProtocolError` for a gap and for a version that is not higher.
+    Raises `ProtocolError` for any other version.
     """
     expected = configuration.version + 1
     if entry.version != expected:
         raise ProtocolError(
             f"Entry {entry.version} can't follow version {configuration.version}; "
-            f"ask for the entries from {expected} on."
+            f"request the entries from {expected} on."
         )
     return _amend(configuration, entry.version, entry.edit.amendments)
 
@@ -149,7 +149,7 @@
 def apply_entries(
     configuration: Configuration, entries: Iterable[Entry]
 ) -> Configuration:
-    """Apply what follows without a gap; skip what is already applied."""
+    """Apply the entries that follow without a gap; skip those already applied."""
     for entry in sorted(entries, key=lambda entry: entry.version):
         if entry.version <= configuration.version:
             continue
@@ -162,11 +162,11 @@
 def check_edit(
     configuration: Configuration, edit: Edit, catalogue: Catalogue | None = None
 ) -> Configuration:
-    """Return the configuration that the edit would give.
+    """Return the configuration that would result from the edit.
 
-    Raises `ConflictError` when the edit amends a revision that is not the present
-    one, and `DocumentError` when the fleet can't honour the result. `catalogue`
-    None skips the check that models, adapters and services are known.
+    Raises `ConflictError` if the edit amends a revision that is not the current one,
+    and `DocumentError` if the result is invalid or its shares exceed the fleet. With
+    `catalogue` None, models, adapters and services are not checked for existence.
     """
     _check_names(edit)
     for amendment in edit.amendments:
@@ -215,11 +215,11 @@
 
 def _check_names(edit: Edit) -> None:
     if not edit.amendments:
-        raise DocumentError("The edit amends nothing; name what is to change.")
+        raise DocumentError("The edit has no amendments; add at least one.")
     names = {(amendment.kind, amendment.name) for amendment in edit.amendments}
     if len(names) < len(edit.amendments):
         raise DocumentError(
-            "The edit amends one item twice; leave one amendment for each item."
+            "The edit amends an item twice; keep one amendment for each item."
         )
     for amendment in edit.amendments:
         _check_name(amendment)
@@ -237,8 +237,8 @@
         name = value.model
     if name != amendment.name:
         raise DocumentError(
-            f"The {amendment.kind} {amendment.name} holds the name {name}; "
-            "use one name in both places."
+            f"The {amendment.kind} {amendment.name} contains the name "
+            f"{name}; use the same name in both places."
         )
 
 
@@ -253,9 +253,9 @@
 
 
 def _check_keys(result: Configuration, edit: Edit) -> None:
-    # An earlier contract that shares a key with an amended one would answer to
-    # the wrong customer: each key of an amended contract must lead back to it,
-    # and the number of keys must not have shrunk by a key that moved.
+    # A key shared by two contracts would identify the wrong customer. Each key of an
+    # amended contract must map to its customer, and all contracts together must have
+    # as many keys as the map, or else a key was taken from another contract.
     for amendment in edit.amendments:
         if not isinstance(amendment.value, Contract):
             continue
@@ -269,7 +269,7 @@
 
 def _shared_key_error(customer: str) -> DocumentError:
     return DocumentError(
-        f"A key of {customer} belongs to another customer too; give it its own key."
+        f"A key of {customer} also belongs to another customer; use a different key."
     )
 
 
--- a/packages/mustardquay/src/mustardquay/roles.py
+++ b/packages/mustardquay/src/mustardquay/roles.py
@@ -1,10 +1,10 @@
 """Roles: which engine of a pool changes its role, and when.
 
-A change takes an engine away for seconds, so it has to pay: the goodput that another
-split of roles is expected to win over a horizon must outweigh what is lost meanwhile
-and the deployment's own price of a change. Demand is seen through a fast and a slow
-mean, and a change must pay under both: noise moves only the first, a real shift soon
-moves the second too.
+A role change makes an engine unavailable for seconds. It is made only if the goodput
+that another split of roles is expected to gain over a horizon exceeds the goodput lost
+during the change plus the deployment's configured cost of a change. Demand is measured
+with a fast and a slow moving average, and a change must be worthwhile under both:
+noise moves only the fast one, while a lasting shift soon moves the slow one too.
 """
 
 import math
@@ -27,7 +27,7 @@
 
 SHORT_ANSWER = 8
 FULL = 0.85
-"""Use of an engine above which queues make answers late."""
+"""Utilisation of an engine above which queueing makes answers late."""
 HEADROOM_WEIGHT = 0.02
 ENTITLED_WEIGHT = 3.0
 OBSERVED_LEAST = timedelta(seconds=10)
@@ -36,48 +36,48 @@
 
 @dataclass(frozen=True, slots=True)
 class Demand:
-    """Work a second: short answers to prompts, and longer ones."""
+    """Rates of work a second, for requests with short and with longer answers."""
 
     reads: float = 0.0
     read_tokens: float = 0.0
-    """Uncached prompt tokens of the short answers."""
+    """Uncached prompt tokens of requests with short answers."""
     drafts: float = 0.0
     draft_tokens: float = 0.0
-    """Uncached prompt tokens of the longer answers."""
+    """Uncached prompt tokens of requests with longer answers."""
     output_tokens: float = 0.0
 
 
 @dataclass(frozen=True, slots=True)
 class RoleRates:
-    """What one engine does in a role when it does nothing else, in tokens a second."""
+    """Rates of an engine in a role for each kind of work alone, in tokens a second."""
 
     prefill: float
     output: float
-    """Over all the streams that it runs at once; 0 when it runs none."""
+    """Total over all concurrent streams; 0 if it runs no streams in this role."""
     prefill_beside: float = 0.0
-    """Prompt tokens a second beside full streams, which pay for the step itself; 0
-    when not known."""
+    """Prompt tokens a second while a full set of streams is running, which then bears
+    the fixed cost of each step; 0 if not known."""
 
 
 @dataclass(frozen=True, slots=True)
 class RoleSettings:
-    """The deployment's wishes for role changes."""
+    """The deployment's settings for role changes."""
 
     rates: Mapping[Role, RoleRates]
     change_price: float = 2.0
-    """Answers that one change must win beyond what it loses; more is calmer."""
+    """Net answers that a change must gain; higher values mean fewer changes."""
     horizon: timedelta = timedelta(seconds=45)
     change_time: timedelta = timedelta(seconds=8)
-    """Time that an engine is away, the draining of its streams included."""
+    """Time for which an engine is unavailable, including the drain of its streams."""
     dwell: timedelta = timedelta(seconds=20)
-    """Shortest time between two changes of one engine."""
+    """Minimum time between two changes of one engine."""
     hysteresis: float = 0.03
-    """Part by which the served work must rise."""
+    """Minimum relative increase of goodput."""
 
 
 @dataclass(frozen=True, slots=True)
 class RoleChange:
-    """The next order of the plan, with the answers it is expected to win."""
+    """A role change to order, with the number of answers it is expected to gain."""
 
     upstream: str
     role: Role
@@ -85,7 +85,7 @@
 
 
 class DemandMeter:
-    """Means of the demand with an exponential memory."""
+    """Exponentially weighted moving averages of the demand."""
 
     def __init__(self, memory: timedelta):
         self._memory = memory.total_seconds()
@@ -101,7 +101,7 @@
     def note(
         self, work: Work, uncached_tokens: int, now: timedelta, entitled: float = 1.0
     ) -> None:
-        """Count a request at its arrival; `entitled` is its part within the share."""
+        """Count a request on arrival; `entitled` is the fraction within the share."""
         self._decay(now)
         if work.output_tokens <= SHORT_ANSWER:
             added = (1, uncached_tokens, 0, 0, 0)
@@ -112,9 +112,9 @@
                 sums[position] += part * value
 
     def read(self, now: timedelta) -> tuple[Demand, Demand]:
-        """Return the demand a second that contracts entitle to, and the rest.
+        """Return the demand a second within the contracts' shares, and the rest.
 
-        During the first seconds it is the mean over these only.
+        During the first seconds this is the mean over the time since the start.
         """
         self._decay(now)
         elapsed = (now - (self._since or now)).total_seconds()
@@ -136,11 +136,11 @@
 
 
 def predict_served(demands: tuple[Demand, Demand], split: Split, rates: Rates) -> float:
-    """Return the worth of the answers a second that a split gives in time.
+    """Return the weighted goodput of a split, in answers a second.
 
-    The demand that contracts entitle to is served first and counts three times, the
-    rest from what is left. Idle capacity counts a little, so that of two splits that
-    serve all the one with more room is taken.
+    Demand within the contracts' shares is served first and counts three times; the
+    rest is served from the remaining capacity. Idle capacity has a small weight, so
+    that of two splits that serve all demand the one with more headroom wins.
     """
     room = {role: FULL * split.get(role, 0) for role in GENERATION_ROLES}
     entitled, rest = demands
@@ -151,10 +151,10 @@
 
 
 def _fill(demand: Demand, room: dict[Role, float], rates: Rates) -> float:
-    """Take the room that the demand needs; return the answers a second.
+    """Allocate `room` to the demand; return the answers a second.
 
-    Longer answers fill the decode engines and then the mixed ones; short ones fill
-    the prefill engines, then what is left.
+    Longer answers are allocated to decode engines, then to mixed ones. Short answers
+    are allocated to prefill engines, then to the remaining capacity.
     """
     drafts_left = 1.0
     for role in (Role.DECODE, Role.MIXED):
@@ -192,7 +192,7 @@
         self._engines = 1
 
     def note(self, work: Work, uncached_tokens: int, now: timedelta) -> None:
-        """Count a request at its arrival at any entry."""
+        """Count a request on arrival at any entry."""
         entitled = self._entitled_part(work, uncached_tokens, now)
         self._fast.note(work, uncached_tokens, now, entitled)
         self._slow.note(work, uncached_tokens, now, entitled)
@@ -200,8 +200,8 @@
     def plan(self, views: Sequence[UpstreamView], now: timedelta) -> RoleChange | None:
         """Return the change to order now, or None.
 
-        While an engine of the pool is away for whatever cause there is no change: two
-        engines less at once is what a small pool can't bear.
+        No change is made while any engine of the pool is unavailable, for whatever
+        reason: a small pool can't lose two engines at once.
         """
         engines = [view for view in views if view.role is not Role.SERVICE]
         self._engines = max(len(engines), 1)
@@ -222,7 +222,7 @@
         return best
 
     def _entitled_part(self, work: Work, uncached_tokens: int, now: timedelta) -> float:
-        """Return the part of what the customer asks for that its share covers."""
+        """Return the fraction of the customer's demand that its share covers."""
         rates = self._settings.rates[Role.MIXED]
         seconds = uncached_tokens / rates.prefill + work.output_tokens / rates.output
         self._offered.charge(work.customer, seconds, now)
@@ -265,7 +265,7 @@
     def _choose_engine(
         self, engines: Sequence[UpstreamView], role: Role, now: timedelta
     ) -> UpstreamView | None:
-        """Return the engine in this role with the least to finish."""
+        """Return the engine in this role with the least outstanding work."""
         free = [
             view
             for view in engines
@@ -299,5 +299,5 @@
 
 
 def _keeps_contracts(during: Split) -> bool:
-    """Tell whether every kind of work still has an engine during the change."""
+    """Return whether every kind of work still has an engine during the change."""
     return during[Role.MIXED] + during[Role.DECODE] > 0
--- a/packages/mustardquay/src/mustardquay/rollouts.py
+++ b/packages/mustardquay/src/mustardquay/rollouts.py
@@ -1,8 +1,8 @@
-"""Rollouts: which order row the holder of a lease writes next.
+"""Rollouts: which order rows the holder of a lease writes next.
 
-What is under way stands in the order rows themselves, so another holder goes on
-where the last one stopped. Engines are taken away one at a time for a planned
-change, and for a release never more than the contracts can spare.
+The progress of a rollout is recorded in the order rows themselves, so a new holder
+continues where the previous one stopped. A planned change takes engines out of service
+one instance at a time, and a release never more than the contracts can spare.
 """
 
 from collections.abc import Iterable, Sequence
@@ -17,14 +17,14 @@
 __all__ = ["EngineStatus", "propose_rows"]
 
 LARGEST_PART = 50
-"""At most one in so many engines is away for a release, but one always may be."""
+"""A release takes at most one in this many engines at a time, but at least one."""
 ADOPTIONS = 20
-"""Order rows written in one turn for engines that have none."""
+"""Maximum number of order rows written in one turn for engines without one."""
 
 
 @dataclass(frozen=True, slots=True)
 class EngineStatus:
-    """What the tables say of one engine of the domain."""
+    """The rows of one engine of the domain."""
 
     upstream: FleetUpstream
     row: OrderRow | None = None
@@ -33,7 +33,7 @@
 
     @property
     def is_available(self) -> bool:
-        """Return whether the engine serves and has reached its order row."""
+        """Return whether the engine is ready and has reached its order row."""
         if self.row is None or self.report is None:
             return False
         return self.report.ready and self.report.generation >= self.row.generation
@@ -45,11 +45,11 @@
     now: datetime,
     fleet: Sequence[EngineStatus] = (),
 ) -> list[tuple[EngineStatus, OrderRow]]:
-    """Return the rows to write now; the next ones follow when these are reached.
+    """Return the rows to write now; more follow once these are reached.
 
-    `engines` are those of the domain. `fleet` is given for a small fleet and has
-    those of all domains: its zones may be too small to spare an engine each, so
-    that they take a release one after the other.
+    `engines` are those of the domain. For a small fleet, `fleet` has the engines of
+    all domains: its zones may each be too small to spare an engine, so a release is
+    rolled out to one zone after the other.
     """
     adopted = [status for status in engines if _is_adoptable(status)]
     if adopted:
@@ -78,8 +78,8 @@
 def _assign_changes(
     configuration: Configuration, engines: Sequence[EngineStatus], now: datetime
 ) -> dict[str, PlannedChange]:
-    # Where several changes name one engine, the one that takes it for longest
-    # decides; of equals the one announced first.
+    # If several changes include an engine, the one that takes it out of service the
+    # longest applies; among equals the one announced first.
     ranks = {Action.WITHDRAW: 0, Action.DRAIN: 1, Action.REPLACE: 2}
     fleet = [status.upstream for status in engines]
     standing = [
@@ -113,8 +113,8 @@
         return True
     if change.action is not Action.REPLACE or status.report is None:
         return False
-    # The row was written for this change with the incarnation of the agent at that
-    # time; a higher one says that the instance was replaced since.
+    # The row's cause records the agent's incarnation when this change drained the
+    # engine; a higher one means that the instance was replaced since.
     prefix = _name_cause(change, "from ")
     if not status.row.cause.startswith(prefix):
         return False
@@ -131,7 +131,7 @@
         change = causes.get(status.upstream.name)
         if change is None or not _needs_removal(status, change):
             continue
-        # Upstreams of one instance go together: it is restarted when all are empty.
+        # Upstreams of an instance drain together: it is restarted when all are empty.
         return [
             (mate, _remove(mate, change))
             for mate in engines
@@ -146,8 +146,8 @@
     row = status.row
     if row.desired.serving:
         return row.cause != _name_cause(change, "done")
-    # Drained for something else, or before the change was amended: a replacement
-    # has to note the incarnation that it waits to see replaced.
+    # Drained for another change, or before this one was amended: a replacement must
+    # record the incarnation that it waits to see replaced.
     if change.action is not Action.REPLACE:
         return False
     return not row.cause.startswith(_name_cause(change, "from "))
@@ -160,7 +160,7 @@
 
 
 def _is_leaving(status: EngineStatus, causes: dict[str, PlannedChange]) -> bool:
-    """Whether the engine is on its way out or, when it is replaced, back in."""
+    """Return whether the engine is draining or, for a replacement, coming back."""
     change = causes[status.upstream.name]
     report = status.report
     if status.row.desired.serving:
@@ -169,7 +169,7 @@
     if change.action is Action.REPLACE:
         return not _needs_removal(status, change)
     if report is None:
-        # Never seen, so nothing runs on it that could be cut.
+        # It has never reported, so it has no running requests to interrupt.
         return False
     return not report.empty or report.generation < status.row.generation
 
@@ -198,8 +198,8 @@
     zones = {
         item.upstream.availability_zone for item in fleet if _can_take(item, release)
     }
-    # The first zone goes first. Two holders that each looked before the other wrote
-    # would otherwise take an engine each where only one can be spared.
+    # Zones take turns in the order of their names. Otherwise two holders that read
+    # before either has written could take one engine each where only one can be spared.
     if not late or late[0].upstream.availability_zone != min(zones):
         return []
     serving = [
@@ -209,8 +209,8 @@
     largest = max(1, len(serving) // LARGEST_PART)
     away = sum(not item.is_available for item in serving)
     free = min(spare, largest) - away
-    # One that is away costs nothing more. Of the others the first by name go first,
-    # so that a version that fails stops at these.
+    # Updating an unavailable engine takes no further capacity. The others are updated
+    # in the order of their names, so that a version that fails stops at the first ones.
     late.sort(key=lambda item: (item.is_available, item.upstream.name))
     chosen = []
     for status in late:
@@ -223,13 +223,13 @@
 
 
 def _can_take(status: EngineStatus, release: Release) -> bool:
-    """Whether the engine lacks the release and is up to take it."""
+    """Return whether the engine lacks the release and can be updated now."""
     if not _needs_release(status, release):
         return False
     if status.is_available or not status.row.desired.serving:
         return True
-    # It can't do what its row asks for, perhaps the version that is taken back. One
-    # that is only down keeps its row: it comes back as it was.
+    # It has not reached its row, possibly because of the version that is being rolled
+    # back. An engine that is only down keeps its row and comes back as it was.
     return status.report is None or status.report.generation < status.row.generation
 
 
--- a/packages/mustardquay/src/mustardquay/rows.py
+++ b/packages/mustardquay/src/mustardquay/rows.py
@@ -1,6 +1,6 @@
-"""Rows: the rules of the table service, applied to rows in memory.
+"""The transaction rules of the table service, applied to rows in memory.
 
-For tests and stand-ins; what a fleet agrees on is never kept here.
+For tests and stand-ins only; shared state of a fleet is never kept here.
 """
 
 from collections.abc import MutableMapping
@@ -15,7 +15,7 @@
 
 
 def apply_transaction(rows: Rows, transaction: Transaction) -> Committed | Conflict:
-    """Apply all the writes if all the conditions hold, or none.
+    """Apply all writes if all conditions hold, otherwise none.
 
     A row that is deleted and written again starts at revision 1.
     """
--- a/packages/mustardquay/src/mustardquay/store_eras.py
+++ b/packages/mustardquay/src/mustardquay/store_eras.py
@@ -1,8 +1,8 @@
-"""Store eras: which life of the platform's store an answer belongs to.
+"""Store eras: detection of restores of the platform's store.
 
-A store that comes back from a copy has lost what it acknowledged since the copy was
-made, and gives out the same versions again for other changes. It numbers its lives:
-each such return raises the era by one. Versions of two eras can't be compared.
+A store that is restored from a copy has lost the writes it acknowledged since the copy
+was made, and assigns the same versions again to other changes. Each restore therefore
+raises the store's era by one. Versions of different eras can't be compared.
 """
 
 from dataclasses import dataclass
@@ -13,36 +13,36 @@
 
 @dataclass(frozen=True, slots=True)
 class StorePosition:
-    """How far the changes of a store are known."""
+    """A position in the store's sequence of changes."""
 
     era: int
-    """0 for a store that tells none."""
+    """0 for a store that reports none."""
     version: int
 
     def follows_return(self, known: "StorePosition | None") -> bool:
-        """Return whether the store came back from a copy after a known position."""
+        """Return whether the store was restored from a copy after `known`."""
         return known is not None and self.era > known.era
 
 
 class EraNews(StrEnum):
-    """What the era of an answer says."""
+    """How the era of an answer compares with the newest one seen."""
 
     SAME = "same"
     NEW = "new"
-    """The store has come back from a copy since the last answer."""
+    """The store was restored from a copy since the last answer."""
     OVER = "over"
-    """The answer is older than that of a later era, and tells of nothing that is."""
+    """The answer is from before the last restore and must be ignored."""
 
 
 @dataclass(slots=True)
 class EraBook:
-    """The newest era that any answer of the store has shown."""
+    """The newest era in any answer of the store."""
 
     current: int | None = None
-    """None before the first answer that tells one."""
+    """None before the first answer with an era."""
 
     def take(self, era: int) -> EraNews:
-        """Take in the era of an answer.
+        """Record the era of an answer.
 
         >>> book = EraBook()
         >>> [book.take(era).value for era in (1, 1, 2, 1)]
--- a/packages/mustardquay/src/mustardquay/tables.py
+++ b/packages/mustardquay/src/mustardquay/tables.py
@@ -1,7 +1,7 @@
 """Tables: the interface to the platform's transactional table service.
 
-A row has a table, a key, a JSON value and a revision, which each write raises by
-one. A transaction applies all its writes if all its conditions hold, or none.
+A row has a table, a key, a JSON value and a revision that each write raises by one.
+A transaction applies all its writes if all its conditions hold, otherwise none.
 """
 
 from collections.abc import Mapping
@@ -24,7 +24,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Row:
-    """A row as it was read; `revision` is 1 after its first write."""
+    """A row as read; `revision` is 1 after the first write."""
 
     table: str
     key: str
@@ -34,7 +34,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Condition:
-    """Holds when the row has this revision; 0 means that the row is absent."""
+    """Holds if the row has this revision; 0 means that the row is absent."""
 
     table: str
     key: str
@@ -52,7 +52,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Transaction:
-    """Writes that are applied together, and only if every condition holds."""
+    """Writes that are applied atomically if every condition holds."""
 
     conditions: tuple[Condition, ...] = ()
     writes: tuple[Write, ...] = ()
@@ -64,41 +64,41 @@
 
     revisions: tuple[int, ...]
     era: int = field(default=0, repr=False)
-    """The era of the store in which it was applied; 0 where it tells none."""
+    """The era of the store in which it was applied; 0 if the store reports none."""
 
 
 @dataclass(frozen=True, slots=True)
 class Conflict:
-    """Nothing was applied; `rows` are the present rows of failed conditions."""
+    """Nothing was applied; `rows` are the current rows of the failed conditions."""
 
     rows: tuple[Row | None, ...]
 
     def __bool__(self) -> bool:
-        """Be false, so that `if not result` reads as "was not applied"."""
+        """Return False, so that `if not result` means "was not applied"."""
         return False
 
 
 class TableService(Protocol):
     """The transactional table service.
 
-    Each call raises `StoreUnavailable` when it surely had no effect, and
-    `transact` raises `StoreUnclear` when its answer was lost.
+    Calls raise `StoreUnavailable` if they are certain to have had no effect, and
+    `transact` raises `StoreUnclear` if its answer was lost.
     """
 
     async def transact(self, transaction: Transaction) -> Committed | Conflict:
-        """Apply all the writes if all the conditions hold."""
+        """Apply all writes if all conditions hold."""
 
     async def read(self, table: str, key: str) -> Row | None:
-        """Return the row, or None when there is none."""
+        """Return the row, or None if there is none."""
 
     async def scan(
         self, table: str, after: str = "", limit: int = 1000
     ) -> tuple[Row, ...]:
-        """Return rows whose key sorts behind `after`, in the order of keys."""
+        """Return rows whose key sorts after `after`, in the order of keys."""
 
 
 class ObjectStore(Protocol):
-    """The object store: whole values by name, each written once."""
+    """The object store: write-once values by name."""
 
     async def put(self, name: str, data: bytes) -> None:
         """Store `data`; raises `StoreUnavailable` or `StoreUnclear`."""
--- a/packages/mustardquay/tests/test_costs.py
+++ b/packages/mustardquay/tests/test_costs.py
@@ -77,7 +77,7 @@
 
 
 def test_an_unknown_target_is_refused():
-    with pytest.raises(DocumentError, match="no upstream; mend the name"):
+    with pytest.raises(DocumentError, match="no upstream; correct the name"):
         check_change(make_change(target="zone-9"), 0.1)
 
 
--- a/packages/mustardquay/tests/test_revisions.py
+++ b/packages/mustardquay/tests/test_revisions.py
@@ -65,7 +65,7 @@
 
 @pytest.mark.parametrize("version", [0, 1, 3])
 def test_a_gap_or_a_lower_version_is_refused(version):
-    with pytest.raises(ProtocolError, match="ask for the entries from 2 on"):
+    with pytest.raises(ProtocolError, match="request the entries from 2 on"):
         apply_entry(BASE, make_entry(version, set_contract(make_contract(), 1)))
 
 
