--- a/benchmarks/baselines.py
+++ b/benchmarks/baselines.py
@@ -8,7 +8,7 @@
 from xxhash import xxh64_intdigest
 
 from mustardquay.errors import Reason, Refusal
-from mustardquay.roles import DemandMeter, RoleChange, RoleSettings, predict_served
+from mustardquay.roles import DemandMeter, RoleChange, RoleSettings, predict_goodput
 from mustardquay.works import Role, UpstreamView, Work
 
 __all__ = [
@@ -165,14 +165,14 @@
         serving = [view for view in views if view.ready]
         split = {role: sum(v.role is role for v in serving) for role in Role}
         best = None
-        least = predict_served(demand, split, self._settings.rates)
+        least = predict_goodput(demand, split, self._settings.rates)
         for view in serving:
             for role in (Role.PREFILL, Role.MIXED, Role.DECODE):
                 after = {**split, view.role: split[view.role] - 1}
                 after[role] += 1
                 if after[Role.MIXED] + after[Role.DECODE] == 0:
                     continue
-                served = predict_served(demand, after, self._settings.rates)
+                served = predict_goodput(demand, after, self._settings.rates)
                 if served > least + 1e-9:
                     best, least = RoleChange(view.name, role, served), served
         return best
--- a/benchmarks/controls.py
+++ b/benchmarks/controls.py
@@ -19,10 +19,10 @@
 import orjson
 
 from mustardquay import Contract, Role, VirtualClock
+from mustardquay.configuration_log import decode_snapshot, encode_snapshot
 from mustardquay.encodings import encode_bytes
 from mustardquay.events import Stamp
-from mustardquay.logs import decode_snapshot, encode_snapshot
-from mustardquay.members import (
+from mustardquay.membership import (
     Instance,
     Membership,
     choose_agents,
--- a/benchmarks/policies.py
+++ b/benchmarks/policies.py
@@ -111,7 +111,7 @@
 
 
 def _make_settings(user: User) -> RoleSettings:
-    return RoleSettings(ROLE_RATES, change_price=user.change_price)
+    return RoleSettings(ROLE_RATES, change_cost=user.change_cost)
 
 
 def _make_fair_queue(name: str) -> FairQueue:
--- a/benchmarks/spreads.py
+++ b/benchmarks/spreads.py
@@ -12,7 +12,7 @@
 from uuid import uuid4
 
 from mustardquay import Contract
-from mustardquay.orders import REPORTS
+from mustardquay.orders import ENGINE_REPORTS
 from mustardquay.revisions import ContractAmendment, Edit
 from mustardquay_node.agents import Agent
 from mustardquay_node.entries import Entry
@@ -115,7 +115,7 @@
 
     def _is_settled(self) -> bool:
         """Whether every agent has reported that it reached its order row."""
-        rows = self._platform.tables.tables.scan(REPORTS)
+        rows = self._platform.tables.tables.scan(ENGINE_REPORTS)
         return sum(row.value["generation"] > 0 for row in rows) == self._count
 
     def _make_settings(self, kind: str, number: int) -> Settings:
--- a/benchmarks/workloads.py
+++ b/benchmarks/workloads.py
@@ -51,7 +51,7 @@
     contracts: tuple[Contract, ...]
     make_read: Callable[[Random, float], tuple[int, int, tuple[int, ...]]]
     make_draft: Callable[[Random, float], tuple[int, int, tuple[int, ...]]]
-    change_price: float
+    change_cost: float
 
 
 def _contract(customer: str, share: float, kind: str) -> Contract:
--- a/packages/mustardquay-cli/src/mustardquay_cli/changes.py
+++ b/packages/mustardquay-cli/src/mustardquay_cli/changes.py
@@ -10,7 +10,7 @@
     ChangeDocument,
     check_document,
     describe_change,
-    read_change,
+    parse_change,
 )
 from mustardquay.errors import MustardquayError
 from mustardquay.plans import Action, Scope
@@ -158,6 +158,6 @@
     try:
         if file is None:
             return check_document(ChangeDocument, options, "options")
-        return read_file(file, read_change)
+        return read_file(file, parse_change)
     except MustardquayError as error:
         finish(error)
--- a/packages/mustardquay-cli/src/mustardquay_cli/contracts.py
+++ b/packages/mustardquay-cli/src/mustardquay_cli/contracts.py
@@ -8,7 +8,7 @@
 
 from mustardquay.documents import (
     hash_keys,
-    read_contract,
+    parse_contract,
 )
 
 from .applications import apply_documents, explain_conflict
@@ -187,7 +187,7 @@
 async def _apply(
     client: AdminClient, files: list[Path], wait: timedelta | None, json: bool
 ) -> None:
-    documents = [read_file(file, read_contract) for file in files]
+    documents = [read_file(file, parse_contract) for file in files]
     result = await apply_documents(client, documents)
     if json:
         print_json(result)
--- a/packages/mustardquay-cli/src/mustardquay_cli/releases.py
+++ b/packages/mustardquay-cli/src/mustardquay_cli/releases.py
@@ -7,7 +7,7 @@
 import typer
 
 from mustardquay.errors import MustardquayError
-from mustardquay.releases import describe_release, read_release
+from mustardquay.releases import describe_release, parse_release
 
 from .announcements import Announcement
 from .clients import join_path
@@ -60,7 +60,7 @@
       mustardquay release announce bulletin-reader.ini --wait
     """
     try:
-        document = read_file(file, read_release)
+        document = read_file(file, parse_release)
     except MustardquayError as error:
         finish(error)
     body = describe_release(document.to_release())
--- a/packages/mustardquay-cli/src/mustardquay_cli/timelines.py
+++ b/packages/mustardquay-cli/src/mustardquay_cli/timelines.py
@@ -8,8 +8,8 @@
 import typer
 
 from mustardquay.errors import ProtocolError
+from mustardquay.event_records import describe_event, parse_event
 from mustardquay.events import Event, select_events
-from mustardquay.records import describe_event, parse_event
 from mustardquay_node.logs import EVENT_MESSAGE
 
 from .clients import AdminClient, join_path
--- a/packages/mustardquay-cli/tests/test_commands.py
+++ b/packages/mustardquay-cli/tests/test_commands.py
@@ -7,7 +7,7 @@
 import pytest
 from typer.testing import CliRunner
 
-from mustardquay.errors import StoreUnavailable, StoreUnclear
+from mustardquay.errors import StoreResultUnknown, StoreUnavailable
 from mustardquay_cli import clients, statuses
 from mustardquay_cli.commands import app
 from mustardquay_cli.failures import ExitCode
@@ -172,13 +172,13 @@
 def test_a_lost_answer_to_an_edit_does_not_apply_it_twice(site):
     # The store takes an edit, but its answer is lost and the operator's command
     # sends the edit again. Under a new id it would conflict with itself.
-    site.actions.faults = [StoreUnclear("No answer; send the edit again.")]
+    site.actions.faults = [StoreResultUnknown("No answer; send the edit again.")]
     apply_examples(site)
     assert site.actions.configuration.version == 1
 
 
 def test_what_is_not_known_is_not_called_refused(site):
-    unclear = [StoreUnclear("No answer; send the edit again.")]
+    unclear = [StoreResultUnknown("No answer; send the edit again.")]
     down = [StoreUnavailable("The store is down; ask again later.")] * 2
     site.actions.faults = unclear + down
     announce = ("change", "announce", "--action", "drain", "--target", "engine-1")
--- a/packages/mustardquay-cli/tests/test_examples.py
+++ b/packages/mustardquay-cli/tests/test_examples.py
@@ -2,8 +2,8 @@
 
 import pytest
 
-from mustardquay.documents import read_change, read_contract
-from mustardquay.releases import read_release
+from mustardquay.documents import parse_change, parse_contract
+from mustardquay.releases import parse_release
 from mustardquay_node.settings import read_settings
 
 EXAMPLES = Path(__file__).parents[3] / "examples"
@@ -28,16 +28,16 @@
 def test_example_documents_are_valid_and_share_the_fleet(site):
     root = EXAMPLES / site
     contracts = [
-        read_contract(path.read_text(), path.name).to_contract()
+        parse_contract(path.read_text(), path.name).to_contract()
         for path in sorted((root / "contracts").glob("*.ini"))
     ]
     assert sum(contract.share for contract in contracts) <= 1
     assert len({key for item in contracts for key in item.key_hashes}) == 3
     models = {name for contract in contracts for name in contract.models}
     releases = [
-        read_release(path.read_text(), path.name)
+        parse_release(path.read_text(), path.name)
         for path in (root / "releases").glob("*.ini")
     ]
     assert {release.model for release in releases} == models
     for path in (root / "changes").glob("*.ini"):
-        assert read_change(path.read_text(), path.name).name == path.stem
+        assert parse_change(path.read_text(), path.name).name == path.stem
--- a/packages/mustardquay-cli/tests/test_timelines.py
+++ b/packages/mustardquay-cli/tests/test_timelines.py
@@ -8,7 +8,7 @@
 from syrupy.extensions.single_file import SingleFileSnapshotExtension, WriteMode
 
 from mustardquay import Event, Stamp
-from mustardquay.records import describe_event, parse_event
+from mustardquay.event_records import describe_event, parse_event
 from mustardquay_cli.pictures import render_svg
 from mustardquay_cli.timelines import merge_events, read_log
 from mustardquay_node.logs import EVENT_MESSAGE
--- a/packages/mustardquay-node/src/mustardquay_node/admins.py
+++ b/packages/mustardquay-node/src/mustardquay_node/admins.py
@@ -13,8 +13,8 @@
 from tornado.netutil import bind_sockets
 from tornado.web import Application
 
+from mustardquay.event_records import describe_event
 from mustardquay.events import EventRing, Stamp, select_events
-from mustardquay.records import describe_event
 
 from .amendments import AdminActions
 from .changes import ChangeHandler, ChangesHandler
--- a/packages/mustardquay-node/src/mustardquay_node/amendments.py
+++ b/packages/mustardquay-node/src/mustardquay_node/amendments.py
@@ -42,7 +42,7 @@
         """Append the edit to the log and return its version.
 
         Raises `ConflictError`, `DocumentError`, `StoreUnavailable` (not applied)
-        or `StoreUnclear` (send the same edit again).
+        or `StoreResultUnknown` (send the same edit again).
         """
 
     async def preview_edit(self, edit: Edit) -> Sequence[str]:
--- a/packages/mustardquay-node/src/mustardquay_node/authorities.py
+++ b/packages/mustardquay-node/src/mustardquay_node/authorities.py
@@ -9,7 +9,7 @@
 from datetime import timedelta
 from typing import Any
 
-from mustardquay.members import Instance, choose_domains
+from mustardquay.membership import Instance, choose_domains
 from mustardquay.orders import OrderRow
 
 from .configurations import ConfigurationKeeper
--- a/packages/mustardquay-node/src/mustardquay_node/callers.py
+++ b/packages/mustardquay-node/src/mustardquay_node/callers.py
@@ -274,7 +274,7 @@
         if scheme.lower() == "bearer" and key:
             digest = sha256(key.strip().encode()).hexdigest()
             configuration = self.parts.configurations.configuration
-            self.customer = configuration.find_customer(digest)
+            self.customer = configuration.find_contract(digest)
         if self.customer is not None:
             return None
         self.set_header("WWW-Authenticate", "Bearer")
--- a/packages/mustardquay-node/src/mustardquay_node/claim_writers.py
+++ b/packages/mustardquay-node/src/mustardquay_node/claim_writers.py
@@ -186,7 +186,7 @@
             await self._try_again(batch)
             return
         except Exception as error:
-            # Not only `StoreUnclear`: whatever went wrong, the write may stand.
+            # Not only `StoreResultUnknown`: whatever went wrong, the write may stand.
             logger.info("A transaction on claims is unclear: %s", error)
             self._in_flight = frozenset()
             for item in batch:
--- a/packages/mustardquay-node/src/mustardquay_node/configurations.py
+++ b/packages/mustardquay-node/src/mustardquay_node/configurations.py
@@ -15,19 +15,19 @@
 
 from blinker import Signal
 
-from mustardquay.encodings import decode, decode_bytes, encode_bytes
-from mustardquay.errors import MustardquayError, ProtocolError
-from mustardquay.logs import (
+from mustardquay.configuration_log import (
+    CONFIGURATIONS,
     ENTRY_PREFIX,
-    HEAD,
-    SNAPSHOT,
-    TABLE,
+    HEAD_KEY,
+    SNAPSHOT_KEY,
+    build_entry_key,
+    build_snapshot_name,
     decode_snapshot,
     encode_snapshot,
-    name_entry,
-    name_snapshot,
     read_version,
 )
+from mustardquay.encodings import decode, decode_bytes, encode_bytes
+from mustardquay.errors import MustardquayError, ProtocolError
 from mustardquay.revisions import Configuration, Entry, apply_entry
 from mustardquay.tables import ObjectStore, Row, TableService
 
@@ -125,7 +125,7 @@
         """
         async with self._lock:
             try:
-                head = await self._tables.read(TABLE, HEAD)
+                head = await self._tables.read(CONFIGURATIONS, HEAD_KEY)
                 await self._catch_up(read_version(head))
             except MustardquayError:
                 self._store_up = False
@@ -201,7 +201,9 @@
         self._highest = max(self._highest, head)
         while self.version < head:
             before = self.version
-            rows = await self._tables.scan(TABLE, name_entry(before), BATCH)
+            rows = await self._tables.scan(
+                CONFIGURATIONS, build_entry_key(before), BATCH
+            )
             rows = [row for row in rows if row.key.startswith(ENTRY_PREFIX)]
             self.offer(decode(Entry, row.value) for row in rows)
             if self.version == before:
@@ -213,10 +215,10 @@
                 )
 
     async def _load_snapshot(self) -> None:
-        version = read_version(await self._tables.read(TABLE, SNAPSHOT))
+        version = read_version(await self._tables.read(CONFIGURATIONS, SNAPSHOT_KEY))
         if version <= self.version:
             return
-        data = await self._objects.get(name_snapshot(version))
+        data = await self._objects.get(build_snapshot_name(version))
         if data is not None:
             self._adopt(decode_snapshot(data))
 
--- a/packages/mustardquay-node/src/mustardquay_node/controllers.py
+++ b/packages/mustardquay-node/src/mustardquay_node/controllers.py
@@ -16,12 +16,12 @@
 from blinker import Signal
 
 from mustardquay.clocks import Clock
-from mustardquay.costs import SMALL_FLEET, Cost, FleetUpstream, check_costs
+from mustardquay.configuration_log import CONFIGURATIONS, HEAD_KEY, read_version
+from mustardquay.costs import SMALL_FLEET_ENGINES, Cost, FleetUpstream, check_costs
 from mustardquay.encodings import decode, encode
 from mustardquay.errors import MustardquayError
-from mustardquay.leases import BEATS, LEASES, Lease, LeaseRows, fence_writes
-from mustardquay.logs import HEAD, TABLE, read_version
-from mustardquay.orders import ORDERS, REPORTS, EngineReport, OrderRow
+from mustardquay.leases import HEARTBEATS, LEASES, Lease, LeaseRows, fence_writes
+from mustardquay.orders import ENGINE_REPORTS, ORDERS, EngineReport, OrderRow
 from mustardquay.plans import PlannedChange, Release
 from mustardquay.revisions import Configuration, Edit
 from mustardquay.rollouts import EngineStatus, propose_rows
@@ -154,12 +154,12 @@
 
     async def _compete(self) -> None:
         lease = await self._tables.read(LEASES, self._domain)
-        beat = await self._tables.read(BEATS, self._domain)
-        self._lease.observe(LeaseRows(lease, beat), self._clock.monotonic())
+        heartbeat = await self._tables.read(HEARTBEATS, self._domain)
+        self._lease.observe(LeaseRows(lease, heartbeat), self._clock.monotonic())
         transaction = self._lease.propose(self._clock.monotonic())
         if transaction is not None:
             result = await self._tables.transact(transaction)
-            self._lease.settle(result, transaction)
+            self._lease.handle_result(result, transaction)
 
     def _note_lease(self) -> None:
         held = self._lease.is_held(self._clock.monotonic())
@@ -192,7 +192,7 @@
 
     async def _read_fleet(self) -> list[EngineStatus]:
         """Read the rows of the domain and, in a small fleet, those of all."""
-        small = self._count_agents() <= SMALL_FLEET
+        small = self._count_agents() <= SMALL_FLEET_ENGINES
         domain = "" if small else self._domain
         fleet = await read_engines(self._tables, domain, self._find_instance)
         self._engines = [
@@ -218,7 +218,9 @@
         keys = [f"{self._domain}/{status.upstream.name}" for status, _ in proposals]
         # A holder whose configuration is a moment old would return an engine to
         # service that was just drained: the rows follow from the present head.
-        configured = Condition(TABLE, HEAD, 0 if head is None else head.revision)
+        configured = Condition(
+            CONFIGURATIONS, HEAD_KEY, 0 if head is None else head.revision
+        )
         unchanged = (
             Condition(ORDERS, key, status.row_revision)
             for key, (status, _) in zip(keys, proposals, strict=True)
@@ -251,7 +253,7 @@
     """Return what the tables say of the engines of a domain, or of all domains."""
     prefix = f"{domain}/" if domain else ""
     orders = await _scan(tables, ORDERS, prefix)
-    reports = await _scan(tables, REPORTS, prefix)
+    reports = await _scan(tables, ENGINE_REPORTS, prefix)
     engines = []
     for key in sorted(orders.keys() | reports.keys()):
         zone, _, name = key.partition("/")
--- a/packages/mustardquay-node/src/mustardquay_node/dispatchers.py
+++ b/packages/mustardquay-node/src/mustardquay_node/dispatchers.py
@@ -12,7 +12,7 @@
 from mustardquay.clocks import Clock
 from mustardquay.errors import Reason, Refusal
 from mustardquay.events import EventRing
-from mustardquay.members import Instance
+from mustardquay.membership import Instance
 from mustardquay.messages import (
     CacheEvents,
     Chunk,
--- a/packages/mustardquay-node/src/mustardquay_node/editors.py
+++ b/packages/mustardquay-node/src/mustardquay_node/editors.py
@@ -11,21 +11,21 @@
 
 from mustardquay.budgets import draw_delay
 from mustardquay.clocks import Clock
-from mustardquay.encodings import decode, encode
-from mustardquay.errors import MustardquayError, StoreUnavailable, StoreUnclear
-from mustardquay.logs import (
+from mustardquay.configuration_log import (
     CHANGE_PREFIX,
+    CONFIGURATIONS,
     ENTRY_PREFIX,
-    SNAPSHOT,
-    TABLE,
+    SNAPSHOT_KEY,
     Accepted,
-    Overtaken,
+    HeadMoved,
+    build_snapshot_name,
     build_transaction,
     encode_snapshot,
     interpret_result,
-    name_snapshot,
     read_version,
 )
+from mustardquay.encodings import decode, encode
+from mustardquay.errors import MustardquayError, StoreResultUnknown, StoreUnavailable
 from mustardquay.revisions import Catalogue, Configuration, Edit, Entry, check_edit
 from mustardquay.tables import (
     Condition,
@@ -82,10 +82,10 @@
         """Return the version under which the edit was accepted.
 
         Raises `ConflictError` or `DocumentError` when it was refused, and
-        `StoreUnavailable` when it was surely not accepted. After `StoreUnclear` it
-        may have been: propose it again with the same change id.
+        `StoreUnavailable` when it was surely not accepted. After `StoreResultUnknown`
+        it may have been: propose it again with the same change id.
         """
-        known = await self._tables.read(TABLE, CHANGE_PREFIX + edit.change_id)
+        known = await self._tables.read(CONFIGURATIONS, CHANGE_PREFIX + edit.change_id)
         if known is not None:
             return read_version(known)
         deadline = self._clock.monotonic() + self._patience
@@ -131,14 +131,14 @@
 
     async def _commit(
         self, entry: Entry, head: Row | None, deadline: timedelta
-    ) -> Accepted | Overtaken:
+    ) -> Accepted | HeadMoved:
         transaction = build_transaction(head, entry)
         attempt = 0
-        unclear: StoreUnclear | None = None
+        unclear: StoreResultUnknown | None = None
         while True:
             try:
                 return interpret_result(entry, await self._tables.transact(transaction))
-            except StoreUnclear as error:
+            except StoreResultUnknown as error:
                 unclear = error
             except StoreUnavailable:
                 if unclear is None:
@@ -171,16 +171,18 @@
         configuration = self._keeper.configuration
         if configuration.version != version:
             return
-        await self._objects.put(name_snapshot(version), encode_snapshot(configuration))
-        row = await self._tables.read(TABLE, SNAPSHOT)
+        await self._objects.put(
+            build_snapshot_name(version), encode_snapshot(configuration)
+        )
+        row = await self._tables.read(CONFIGURATIONS, SNAPSHOT_KEY)
         if read_version(row) >= version:
             return
         revision = 0 if row is None else row.revision
         value = {"version": version}
         result = await self._tables.transact(
             Transaction(
-                (Condition(TABLE, SNAPSHOT, revision),),
-                (Write(TABLE, SNAPSHOT, value),),
+                (Condition(CONFIGURATIONS, SNAPSHOT_KEY, revision),),
+                (Write(CONFIGURATIONS, SNAPSHOT_KEY, value),),
             )
         )
         if result and row is not None:
@@ -189,7 +191,7 @@
     async def _prune(self, version: int) -> None:
         """Delete the entries up to the last snapshot but one, with change ids."""
         while True:
-            rows = await self._tables.scan(TABLE, ENTRY_PREFIX, PRUNE_BATCH)
+            rows = await self._tables.scan(CONFIGURATIONS, ENTRY_PREFIX, PRUNE_BATCH)
             old = [
                 row
                 for row in rows
@@ -200,6 +202,6 @@
             writes = []
             for row in old:
                 change_id = row.value["edit"]["change_id"]
-                writes.append(Write(TABLE, row.key, None))
-                writes.append(Write(TABLE, CHANGE_PREFIX + change_id, None))
+                writes.append(Write(CONFIGURATIONS, row.key, None))
+                writes.append(Write(CONFIGURATIONS, CHANGE_PREFIX + change_id, None))
             await self._tables.transact(Transaction((), tuple(writes)))
--- a/packages/mustardquay-node/src/mustardquay_node/engines.py
+++ b/packages/mustardquay-node/src/mustardquay_node/engines.py
@@ -7,7 +7,7 @@
 from pydantic import BaseModel, ConfigDict, ValidationError
 from tornado.httpclient import AsyncHTTPClient, HTTPError, HTTPRequest, HTTPResponse
 
-from mustardquay.machines import OrderAnswer
+from mustardquay.order_state_machine import OrderResult
 from mustardquay.orders import EngineState, Order
 from mustardquay.works import Role
 
@@ -28,7 +28,7 @@
     async def read_state(self) -> EngineState | None:
         """Return what the upstream is, or None when it does not answer."""
 
-    async def send_order(self, order: Order, timeout: timedelta) -> OrderAnswer:
+    async def send_order(self, order: Order, timeout: timedelta) -> OrderResult:
         """Send an order and give up after `timeout`."""
 
 
@@ -72,7 +72,7 @@
             return None
         return EngineState(**state.model_dump())
 
-    async def send_order(self, order: Order, timeout: timedelta) -> OrderAnswer:
+    async def send_order(self, order: Order, timeout: timedelta) -> OrderResult:
         """Send an order and give up after `timeout`."""
         body = orjson.dumps(
             {
@@ -85,13 +85,13 @@
         )
         response = await self._fetch("/orders", "POST", body, timeout)
         if response is None:
-            return OrderAnswer.LOST
+            return OrderResult.LOST
         if response.code == 202:
-            return OrderAnswer.ACCEPTED
+            return OrderResult.ACCEPTED
         if response.code == 409:
             return _read_conflict(response)
         # Not one of the protocol's answers: the state that is observed next tells.
-        return OrderAnswer.LOST
+        return OrderResult.LOST
 
     async def _fetch(
         self, path: str, method: str, body: bytes | None, timeout: timedelta
@@ -111,14 +111,14 @@
             return None
 
 
-def _read_conflict(response: HTTPResponse) -> OrderAnswer:
+def _read_conflict(response: HTTPResponse) -> OrderResult:
     try:
         answer: Any = orjson.loads(response.body)
     except orjson.JSONDecodeError:
-        return OrderAnswer.LOST
+        return OrderResult.LOST
     if isinstance(answer, dict) and answer.get("error") == "stale fence":
-        return OrderAnswer.STALE
-    return OrderAnswer.BUSY
+        return OrderResult.STALE
+    return OrderResult.BUSY
 
 
 class PlainService:
@@ -134,6 +134,6 @@
         """Return a state that is settled."""
         return EngineState("service", 1, Role.SERVICE, {})
 
-    async def send_order(self, order: Order, timeout: timedelta) -> OrderAnswer:
+    async def send_order(self, order: Order, timeout: timedelta) -> OrderResult:
         """Answer that the order changes nothing."""
-        return OrderAnswer.BUSY
+        return OrderResult.BUSY
--- a/packages/mustardquay-node/src/mustardquay_node/entries.py
+++ b/packages/mustardquay-node/src/mustardquay_node/entries.py
@@ -8,7 +8,7 @@
 from mustardquay.clocks import Clock
 from mustardquay.errors import MustardquayError
 from mustardquay.events import Event
-from mustardquay.members import (
+from mustardquay.membership import (
     Instance,
     Membership,
     MemberState,
@@ -254,7 +254,9 @@
         if isinstance(message, Heartbeat):
             now = self._parts.clock.monotonic()
             peer = link.peer
-            self._membership.hear(peer.process, peer.incarnation, message.draining, now)
+            self._membership.note_heartbeat(
+                peer.process, peer.incarnation, message.draining, now
+            )
             self._known.update(message.models)
             self._known_adapters.update(message.adapters)
         spread_configuration(self._keeper, link, message)
--- a/packages/mustardquay-node/src/mustardquay_node/era_watches.py
+++ b/packages/mustardquay-node/src/mustardquay_node/era_watches.py
@@ -3,7 +3,7 @@
 from collections.abc import Callable
 
 from mustardquay.events import EventRing
-from mustardquay.store_eras import EraBook, EraNews
+from mustardquay.store_eras import EraChange, EraTracker
 
 __all__ = ["EraWatch"]
 
@@ -13,7 +13,7 @@
 
     def __init__(self, events: EventRing):
         self._events = events
-        self._book = EraBook()
+        self._book = EraTracker()
         self._listeners: list[Callable[[], None]] = []
         self._unreadable = ""
 
@@ -34,11 +34,11 @@
         if era is None:
             return True
         before = self.era
-        news = self._book.take(era)
-        if news is EraNews.OVER:
+        news = self._book.observe(era)
+        if news is EraChange.OUTDATED:
             self._events.record("store.era_over", era=era, newest=before)
             return False
-        if news is EraNews.NEW:
+        if news is EraChange.NEW:
             self._events.record("store.era", era=era, before=before)
             for listener in self._listeners:
                 listener()
--- a/packages/mustardquay-node/src/mustardquay_node/feeds.py
+++ b/packages/mustardquay-node/src/mustardquay_node/feeds.py
@@ -154,7 +154,7 @@
         written its row again: it would get no work for seconds.
         """
         position = found.page.position
-        if position.follows_return(self._known):
+        if position.follows_restore(self._known):
             if not found.is_whole:
                 # Changes after a version that stood for other changes.
                 self._position = None
--- a/packages/mustardquay-node/src/mustardquay_node/gateways.py
+++ b/packages/mustardquay-node/src/mustardquay_node/gateways.py
@@ -11,7 +11,7 @@
 from pathlib import Path
 from random import Random
 
-from mustardquay.clocks import Clock, SuspendClock, SystemClock
+from mustardquay.clocks import BootTimeClock, Clock, SystemClock
 from mustardquay.events import Event, EventRing, HybridClock
 from mustardquay.routing_tables import CallerLimits, RoutingTable
 from mustardquay.stops import BALANCER_NOTICE
@@ -328,7 +328,7 @@
         parts = StageKeeperParts(
             adapter=self._adapter,
             store=self._store,
-            clock=SuspendClock(),
+            clock=BootTimeClock(),
             random=self._random,
             events=self._events,
             upstreams=self._upstreams.list,
--- a/packages/mustardquay-node/src/mustardquay_node/handlers.py
+++ b/packages/mustardquay-node/src/mustardquay_node/handlers.py
@@ -14,8 +14,8 @@
     ConflictError,
     DocumentError,
     MustardquayError,
+    StoreResultUnknown,
     StoreUnavailable,
-    StoreUnclear,
 )
 
 __all__ = ["AdminHandler", "BaseHandler", "FallbackHandler", "hash_keys"]
@@ -26,7 +26,7 @@
     (DocumentError, 400),
     (ConflictError, 409),
     (StoreUnavailable, 503),
-    (StoreUnclear, 504),
+    (StoreResultUnknown, 504),
     (MustardquayError, 500),
 )
 
--- a/packages/mustardquay-node/src/mustardquay_node/logs.py
+++ b/packages/mustardquay-node/src/mustardquay_node/logs.py
@@ -11,8 +11,8 @@
 import orjson
 from eliot.stdlib import EliotHandler
 
+from mustardquay.event_records import describe_event
 from mustardquay.events import Event
-from mustardquay.records import describe_event
 
 __all__ = ["DROPPED_MESSAGE", "EVENT_MESSAGE", "LineWriter", "Logs", "write_event"]
 
--- a/packages/mustardquay-node/src/mustardquay_node/node_settings.py
+++ b/packages/mustardquay-node/src/mustardquay_node/node_settings.py
@@ -22,7 +22,7 @@
     "Settings",
 ]
 
-Words = Annotated[tuple[str, ...], fields.Words]
+Words = Annotated[tuple[str, ...], fields.SplitWords]
 SomeWords = Annotated[Words, Field(min_length=1)]
 URL = Annotated[str, AfterValidator(check_url)]
 
--- a/packages/mustardquay-node/src/mustardquay_node/reconcilers.py
+++ b/packages/mustardquay-node/src/mustardquay_node/reconcilers.py
@@ -1,6 +1,6 @@
 """Reconcilers: bring the upstream beside an agent to its desired state.
 
-The decisions are those of `OrderMachine`; here they meet the table service and the
+The decisions are those of `OrderStateMachine`; here they meet the table service and the
 engine. The upstream gets requests only while `ready` is true.
 """
 
@@ -14,17 +14,17 @@
 
 from mustardquay.clocks import Clock
 from mustardquay.encodings import decode, encode
-from mustardquay.errors import MustardquayError, StoreUnavailable, StoreUnclear
-from mustardquay.machines import OrderAnswer, OrderMachine, Step
+from mustardquay.errors import MustardquayError, StoreResultUnknown, StoreUnavailable
+from mustardquay.order_state_machine import OrderResult, OrderStateMachine, Step
 from mustardquay.orders import (
-    CLAIMS,
+    ENGINE_CLAIMS,
+    ENGINE_REPORTS,
     ORDERS,
-    REPORTS,
     Claim,
     EngineReport,
     EngineState,
     OrderRow,
-    name_engine,
+    build_engine_key,
 )
 from mustardquay.tables import Committed, Condition, TableService, Transaction, Write
 
@@ -39,7 +39,7 @@
 order_sent = Signal("Sent by a reconciler, with the argument `order`.")
 order_ended = Signal("Sent by a reconciler, with the argument `answer`.")
 
-PERMIT = timedelta(seconds=5)
+SEND_WINDOW = timedelta(seconds=5)
 POLL_RATE = 100.0
 """Order rows that all the agents together read in a second."""
 SHORTEST_POLL = timedelta(seconds=2)
@@ -69,9 +69,9 @@
         is_idle: Callable[[], bool],
         count_agents: Callable[[], int] = lambda: 1,
         interval: timedelta = timedelta(seconds=1),
-        permit: timedelta = PERMIT,
+        send_window: timedelta = SEND_WINDOW,
     ):
-        self._key = name_engine(domain, upstream)
+        self._key = build_engine_key(domain, upstream)
         self._agent = agent
         self._tables = tables
         self._engine = engine
@@ -80,7 +80,7 @@
         self._is_idle = is_idle
         self._count_agents = count_agents
         self._interval = interval
-        self._machine = OrderMachine(fencing, longest_order, permit)
+        self._machine = OrderStateMachine(fencing, longest_order, send_window)
         self._poll_at = timedelta.min
         self._reported: EngineReport | None = None
         self._ready = False
@@ -144,7 +144,7 @@
                 if not await self._take(step):
                     break
             await self._report()
-        except (StoreUnavailable, StoreUnclear) as error:
+        except (StoreUnavailable, StoreResultUnknown) as error:
             self._machine.note_store(False)
             logger.info("%s: the table service can't be used: %s", self._key, error)
         except MustardquayError as error:
@@ -175,7 +175,7 @@
         return False
 
     async def _claim(self) -> bool:
-        row = await self._tables.read(CLAIMS, self._key)
+        row = await self._tables.read(ENGINE_CLAIMS, self._key)
         if row is not None and decode(Claim, row.value).agent == self._agent:
             # Written by a transaction whose answer was lost.
             self._machine.claim(row.revision, self._clock.monotonic())
@@ -183,8 +183,8 @@
         revision = 0 if row is None else row.revision
         result = await self._tables.transact(
             Transaction(
-                (Condition(CLAIMS, self._key, revision),),
-                (Write(CLAIMS, self._key, encode(Claim(self._agent))),),
+                (Condition(ENGINE_CLAIMS, self._key, revision),),
+                (Write(ENGINE_CLAIMS, self._key, encode(Claim(self._agent))),),
             )
         )
         if not isinstance(result, Committed):
@@ -195,7 +195,7 @@
     async def _reread(self) -> None:
         started = self._clock.monotonic()
         order = await self._read_row()
-        claim = await self._tables.read(CLAIMS, self._key)
+        claim = await self._tables.read(ENGINE_CLAIMS, self._key)
         self._machine.reread(order, 0 if claim is None else claim.revision, started)
 
     async def _send(self) -> None:
@@ -203,8 +203,8 @@
         if order is None:
             return
         order_sent.send(self, order=order)
-        timeout = self._machine.get_permit(self._clock.monotonic())
-        answer = OrderAnswer.LOST
+        timeout = self._machine.get_send_window(self._clock.monotonic())
+        answer = OrderResult.LOST
         try:
             answer = await self._engine.send_order(order, timeout)
         finally:
@@ -218,8 +218,8 @@
             return
         result = await self._tables.transact(
             Transaction(
-                (Condition(CLAIMS, self._key, self._machine.incarnation),),
-                (Write(REPORTS, self._key, encode(report)),),
+                (Condition(ENGINE_CLAIMS, self._key, self._machine.incarnation),),
+                (Write(ENGINE_REPORTS, self._key, encode(report)),),
             )
         )
         if result:
--- a/packages/mustardquay-node/src/mustardquay_node/recorders.py
+++ b/packages/mustardquay-node/src/mustardquay_node/recorders.py
@@ -22,7 +22,7 @@
     judge_claim,
 )
 from mustardquay.clocks import Clock
-from mustardquay.errors import Reason, Refusal, StoreUnavailable, StoreUnclear
+from mustardquay.errors import Reason, Refusal, StoreResultUnknown, StoreUnavailable
 from mustardquay.retries import choose_backoff
 from mustardquay.tables import ObjectStore, TableService
 
@@ -244,7 +244,7 @@
             try:
                 await self._objects.put(stored.object_name, body)
                 break
-            except (StoreUnavailable, StoreUnclear):
+            except (StoreUnavailable, StoreResultUnknown):
                 # Objects never change, so that an unclear put is repeated as it is.
                 await asyncio.sleep(self._choose_pause(retry))
         written = await self._end(claim, ClaimState.ANSWERED, stored)
--- a/packages/mustardquay-node/src/mustardquay_node/settings.py
+++ b/packages/mustardquay-node/src/mustardquay_node/settings.py
@@ -21,12 +21,12 @@
 )
 
 from mustardquay.errors import SettingsError
-from mustardquay.faults import describe_faults
 from mustardquay.fields import (
     Duration,
     check_address,
     check_socket_address,
 )
+from mustardquay.validation_errors import describe_errors
 
 from .crosschecks import check_together
 from .keys import DEFAULTS, KEYS, SECTIONS, SERVICE_PREFIX
@@ -201,7 +201,7 @@
     try:
         settings = model.model_validate(tree)
     except ValidationError as error:
-        raise SettingsError(describe_faults(error, locate)) from None
+        raise SettingsError(describe_errors(error, locate)) from None
     if isinstance(settings, GatewaySettings):
         return settings
     faults = [
--- a/packages/mustardquay-node/src/mustardquay_node/stage_keepers.py
+++ b/packages/mustardquay-node/src/mustardquay_node/stage_keepers.py
@@ -16,7 +16,7 @@
 from mustardquay.clocks import Clock
 from mustardquay.errors import MustardquayError
 from mustardquay.events import EventRing
-from mustardquay.leases import BEATS, LEASES, Lease, LeaseRows
+from mustardquay.leases import HEARTBEATS, LEASES, Lease, LeaseRows
 from mustardquay.stage_plans import StageChange, StagePlanner
 from mustardquay.upstream_lists import Stage, UpstreamList, UpstreamRecord
 
@@ -220,12 +220,12 @@
         self._observed_at = parts.clock.monotonic()
         lease = await parts.store.read(LEASES, DOMAIN)
         era = parts.store.era
-        beat = await parts.store.read(BEATS, DOMAIN)
+        heartbeat = await parts.store.read(HEARTBEATS, DOMAIN)
         if parts.store.era != era:
             # The two rows are of two lives of the store.
             self.note_era()
             return
-        rows = LeaseRows(lease, beat, era)
+        rows = LeaseRows(lease, heartbeat, era)
         self._lease.observe(rows, parts.clock.monotonic())
 
     async def _renew(self) -> bool:
@@ -237,7 +237,7 @@
             return False
         fence = self._lease.order_fence
         result = await store.transact(transaction)
-        self._lease.settle(result, transaction, parts.clock.monotonic())
+        self._lease.handle_result(result, transaction, parts.clock.monotonic())
         if self._lease.order_fence != fence:
             number = self._lease.order_fence.number
             parts.events.record("lease.taken", domain=DOMAIN, fence=number)
--- a/packages/mustardquay-node/src/mustardquay_node/stores.py
+++ b/packages/mustardquay-node/src/mustardquay_node/stores.py
@@ -2,7 +2,7 @@
 
 Every call has a deadline that counts its retries, waits its turn in a budget and
 goes through a circuit breaker. What surely had no effect is tried again with full
-jitter. A transaction whose answer was lost raises `StoreUnclear` and is never
+jitter. A transaction whose answer was lost raises `StoreResultUnknown` and is never
 repeated here: only the caller knows how to read back.
 """
 
@@ -18,8 +18,8 @@
 from mustardquay.budgets import Budget, draw_delay
 from mustardquay.clocks import Clock
 from mustardquay.encodings import decode
-from mustardquay.errors import ProtocolError, StoreUnavailable, StoreUnclear
-from mustardquay.members import Instance
+from mustardquay.errors import ProtocolError, StoreResultUnknown, StoreUnavailable
+from mustardquay.membership import Instance
 from mustardquay.tables import Committed, Conflict, Row, Transaction
 
 from .pauses import PauseMeter
@@ -113,8 +113,8 @@
         """Return an answer with status 200, 204, 404 or 409.
 
         Raises `StoreUnavailable`, `ProtocolError` and, with `is_write`,
-        `StoreUnclear`. A pause of this process is not counted: it would wake with all
-        its calls timed out though the service had answered, and read nothing.
+        `StoreResultUnknown`. A pause of this process is not counted: it would wake with
+        all its calls timed out though the service had answered, and read nothing.
         """
         call = _Call(method, path, body, is_write, PauseMeter())
         try:
@@ -203,7 +203,7 @@
 
     def _lost(self, is_write: bool, reason: str) -> Exception:
         if is_write:
-            return StoreUnclear(
+            return StoreResultUnknown(
                 f"The answer of {self._base_url} was lost ({reason}); read back "
                 "before going on."
             )
--- a/packages/mustardquay-node/src/mustardquay_node/sweepers.py
+++ b/packages/mustardquay-node/src/mustardquay_node/sweepers.py
@@ -4,7 +4,7 @@
 
 from mustardquay.claims import CLAIMS, plan_expiry
 from mustardquay.clocks import Clock
-from mustardquay.errors import StoreUnavailable, StoreUnclear
+from mustardquay.errors import StoreResultUnknown, StoreUnavailable
 from mustardquay.tables import TableService
 
 __all__ = ["ClaimSweeper"]
@@ -34,7 +34,7 @@
             transaction = plan_expiry(rows, self._clock.now(), PAGE)
             if transaction.writes:
                 await self._tables.transact(transaction)
-        except (StoreUnavailable, StoreUnclear) as error:
+        except (StoreUnavailable, StoreResultUnknown) as error:
             # The page is left for the next round.
             logger.info("Expired claims were not deleted: %s", error)
             return
--- a/packages/mustardquay-node/tests/test_admins.py
+++ b/packages/mustardquay-node/tests/test_admins.py
@@ -5,7 +5,7 @@
 from tornado.httpclient import AsyncHTTPClient, HTTPResponse
 
 from mustardquay import EventRing, HybridClock, VirtualClock
-from mustardquay.errors import StoreUnavailable, StoreUnclear
+from mustardquay.errors import StoreResultUnknown, StoreUnavailable
 from mustardquay.revisions import Configuration, Edit, Entry, apply_entry, check_edit
 from mustardquay_node.admins import AdminParts, AdminServer
 from mustardquay_node.metrics import NodeMetrics
@@ -215,7 +215,7 @@
     "error, code",
     [
         (StoreUnavailable("The store is down; ask again later."), 503),
-        (StoreUnclear("No answer; send the edit again."), 504),
+        (StoreResultUnknown("No answer; send the edit again."), 504),
         (RuntimeError("secret detail"), 500),
     ],
 )
--- a/packages/mustardquay-node/tests/test_configurations.py
+++ b/packages/mustardquay-node/tests/test_configurations.py
@@ -7,13 +7,13 @@
 from hypothesis import given, settings, strategies as st
 
 from mustardquay import Contract, VirtualClock
+from mustardquay.configuration_log import CHANGE_PREFIX, CONFIGURATIONS, build_entry_key
 from mustardquay.errors import (
     ConflictError,
     DocumentError,
+    StoreResultUnknown,
     StoreUnavailable,
-    StoreUnclear,
 )
-from mustardquay.logs import CHANGE_PREFIX, TABLE, name_entry
 from mustardquay.revisions import ContractAmendment, Edit
 from mustardquay_node.configurations import ConfigurationKeeper, configuration_changed
 from mustardquay_node.editors import ConfigurationEditor
@@ -72,7 +72,7 @@
         assert await first.editor.propose(make_edit("a")) == 1
         await second.keeper.poll()
     assert seen == [1] and second.keeper.current
-    assert second.keeper.configuration.find_customer("hash-radio").revision == 1
+    assert second.keeper.configuration.find_contract("hash-radio").revision == 1
 
 
 @pytest.mark.fault
@@ -87,10 +87,10 @@
     setattr(process.store, fault, 2)
     assert await process.editor.propose(make_edit("a")) == 1
     assert await process.editor.propose(make_edit("b", "tram")) == 2
-    entries = process.store.tables.scan(TABLE, name_entry(0))
+    entries = process.store.tables.scan(CONFIGURATIONS, build_entry_key(0))
     assert [row.key for row in entries if row.key.startswith("entry/")] == [
-        name_entry(1),
-        name_entry(2),
+        build_entry_key(1),
+        build_entry_key(2),
     ]
 
 
@@ -99,7 +99,7 @@
     """The store goes down just after it has lost the answer."""
     process = make_process(patience=timedelta(seconds=3))
     process.store.lose_answers = 1000
-    with pytest.raises(StoreUnclear):
+    with pytest.raises(StoreResultUnknown):
         await process.editor.propose(make_edit("a"))
     process.store.lose_answers = 0
     assert await process.editor.propose(make_edit("a")) == 1
@@ -126,7 +126,7 @@
     with pytest.raises(ConflictError, match="revision 2"):
         await second.editor.propose(make_edit("loser", revision=1, share=0.3))
     assert second.keeper.configuration.contracts["radio"].share == 0.2
-    assert second.store.tables.read(TABLE, CHANGE_PREFIX + "loser") is None
+    assert second.store.tables.read(CONFIGURATIONS, CHANGE_PREFIX + "loser") is None
     merged = make_edit("merged", revision=2, share=0.3)
     assert await second.editor.propose(merged) == 3
 
@@ -229,10 +229,10 @@
     writer = make_process(snapshot_interval=5)
     for number in range(23):
         await writer.editor.propose(make_edit(str(number), f"customer-{number}", 0, 0))
-    rows = writer.store.tables.scan(TABLE, "entry/", 1000)
+    rows = writer.store.tables.scan(CONFIGURATIONS, "entry/", 1000)
     kept = [row for row in rows if row.key.startswith("entry/")]
-    assert kept[0].key == name_entry(16)
-    assert writer.store.tables.read(TABLE, CHANGE_PREFIX + "3") is None
+    assert kept[0].key == build_entry_key(16)
+    assert writer.store.tables.read(CONFIGURATIONS, CHANGE_PREFIX + "3") is None
     late, later = make_process(), make_process()
     await late.keeper.poll()
     assert late.keeper.configuration == writer.keeper.configuration
--- a/packages/mustardquay-node/tests/test_controls.py
+++ b/packages/mustardquay-node/tests/test_controls.py
@@ -6,10 +6,10 @@
 import pytest
 
 from mustardquay import Role
-from mustardquay.errors import StoreUnclear
+from mustardquay.configuration_log import CONFIGURATIONS, HEAD_KEY
+from mustardquay.errors import StoreResultUnknown
 from mustardquay.leases import LEASES
-from mustardquay.logs import HEAD, TABLE
-from mustardquay.orders import CLAIMS, ORDERS, Desired
+from mustardquay.orders import ENGINE_CLAIMS, ORDERS, Desired
 from mustardquay.plans import Action, PlannedChange, Release, Scope
 from mustardquay_standins.fleets import Fleet, StaticKeeper
 
@@ -182,7 +182,7 @@
         if transaction.writes[0].table != ORDERS:
             return await transact(transaction)
         held_back.append(transaction)
-        raise StoreUnclear("The transaction is still under way.")
+        raise StoreResultUnknown("The transaction is still under way.")
 
     holder.store.transact = hold_back
     return held_back
@@ -261,7 +261,7 @@
         entry.store.lose_answers = 3
     fleet.configure(2, releases=[NEW])
     await fleet.run(300)
-    assert fleet.tables.read(CLAIMS, f"{ZONE}/{name}").revision == 2
+    assert fleet.tables.read(ENGINE_CLAIMS, f"{ZONE}/{name}").revision == 2
     assert fleet.list_versions() == ["2"] * 4 and fleet.count_ready() == 4
     assert fleet.count_conflicts() == 0
 
@@ -284,7 +284,7 @@
     fresh = fleet.make_entry(9)
     await fleet.run(60, [fresh])
     assert fresh.held and fleet.agents["runner-2"].draining
-    head = fleet.tables.read(TABLE, HEAD)
+    head = fleet.tables.read(CONFIGURATIONS, HEAD_KEY)
     old.poll = AsyncMock(return_value=replace(head, value={"version": 1}, revision=1))
     await fleet.run(60, [fresh])
     assert fleet.agents["runner-2"].draining and fleet.count_ready() == 3
--- a/packages/mustardquay-node/tests/test_engine_controls.py
+++ b/packages/mustardquay-node/tests/test_engine_controls.py
@@ -7,7 +7,7 @@
 import pytest
 
 from mustardquay import Role, VirtualClock
-from mustardquay.machines import OrderAnswer
+from mustardquay.order_state_machine import OrderResult
 from mustardquay.orders import Desired, Order
 from mustardquay.plans import Release
 from mustardquay.revisions import Edit, ReleaseAmendment
@@ -136,7 +136,7 @@
         assert not state.changing and state.generation == 0
         order = Order(3, 1, Desired(Role.PREFILL, {"m": "2"}))
         second = timedelta(seconds=1)
-        assert await engine.send_order(order, second) is OrderAnswer.ACCEPTED
+        assert await engine.send_order(order, second) is OrderResult.ACCEPTED
         while site.engine.orders.changing:
             await asyncio.sleep(0)
         state = await engine.read_state()
@@ -145,10 +145,10 @@
         stale = Order(2, 2, Desired(Role.MIXED, {"m": "1"}))
         answer = await engine.send_order(stale, second)
         lax = site.engine.faults.ignore_fences
-        assert answer is (OrderAnswer.ACCEPTED if lax else OrderAnswer.STALE)
+        assert answer is (OrderResult.ACCEPTED if lax else OrderResult.STALE)
         await site.engine.close()
         assert await engine.read_state() is None
-        assert await engine.send_order(order, second) is OrderAnswer.LOST
+        assert await engine.send_order(order, second) is OrderResult.LOST
     finally:
         await engine.close()
 
--- a/packages/mustardquay-node/tests/test_logs.py
+++ b/packages/mustardquay-node/tests/test_logs.py
@@ -7,7 +7,7 @@
 import orjson
 
 from mustardquay import EventRing, HybridClock, VirtualClock
-from mustardquay.records import parse_event
+from mustardquay.event_records import parse_event
 from mustardquay_node.logs import (
     DROPPED_MESSAGE,
     EVENT_MESSAGE,
--- a/packages/mustardquay-node/tests/test_recorders.py
+++ b/packages/mustardquay-node/tests/test_recorders.py
@@ -17,7 +17,7 @@
 )
 
 from mustardquay.claims import CLAIMS, ClaimKey, RecordedAnswer, Verdict
-from mustardquay.errors import StoreUnavailable, StoreUnclear
+from mustardquay.errors import StoreResultUnknown, StoreUnavailable
 from mustardquay.tables import Committed, Conflict, Row
 from mustardquay_node.recorders import Recorder
 from mustardquay_standins.virtual_loops import LoopClock, VirtualLoop
@@ -57,11 +57,11 @@
             self.delayed.add(task)
             task.add_done_callback(self.delayed.discard)
         if fate in (Fate.VANISHED, Fate.DELAYED):
-            raise StoreUnclear("lost")
+            raise StoreResultUnknown("lost")
         result = self._apply(transaction)
         await asyncio.sleep(LATENCY)
         if fate is Fate.LOST:
-            raise StoreUnclear("lost")
+            raise StoreResultUnknown("lost")
         return result
 
     async def _apply_later(self, transaction):
@@ -381,7 +381,7 @@
         states = [write.value["state"] for write in transaction.writes]
         try:
             result = await self.tables.transact(transaction)
-        except (StoreUnavailable, StoreUnclear) as error:
+        except (StoreUnavailable, StoreResultUnknown) as error:
             self.note(f"store: {states} {type(error).__name__}")
             raise
         self.note(f"store: {states} {type(result).__name__}")
--- a/packages/mustardquay-node/tests/test_stage_keepers.py
+++ b/packages/mustardquay-node/tests/test_stage_keepers.py
@@ -4,7 +4,7 @@
 
 from mustardquay.clocks import VirtualClock
 from mustardquay.events import EventRing, HybridClock
-from mustardquay.leases import BEATS, LEASES, Lease, LeaseRows
+from mustardquay.leases import HEARTBEATS, LEASES, Lease, LeaseRows
 from mustardquay.upstream_lists import Stage, UpstreamList, UpstreamRecord
 from mustardquay_node.stage_keepers import (
     DOMAIN,
@@ -67,11 +67,12 @@
 
     async def renew_as_another(self, lease):
         rows = LeaseRows(
-            await self.store.read(LEASES, DOMAIN), await self.store.read(BEATS, DOMAIN)
+            await self.store.read(LEASES, DOMAIN),
+            await self.store.read(HEARTBEATS, DOMAIN),
         )
         lease.observe(rows, self.clock.monotonic())
         transaction = lease.propose(self.clock.monotonic())
-        lease.settle(await self.store.transact(transaction), transaction)
+        lease.handle_result(await self.store.transact(transaction), transaction)
 
     def is_taken(self):
         return any(each.kind == "lease.taken" for each in self.events.list_events())
--- a/packages/mustardquay-node/tests/test_stores.py
+++ b/packages/mustardquay-node/tests/test_stores.py
@@ -8,7 +8,7 @@
 import pytest
 
 from mustardquay import SystemClock, VirtualClock
-from mustardquay.errors import StoreUnavailable, StoreUnclear
+from mustardquay.errors import StoreResultUnknown, StoreUnavailable
 from mustardquay.tables import Committed, Condition, Conflict, Row, Transaction, Write
 from mustardquay_node.stores import (
     HttpInstances,
@@ -93,7 +93,7 @@
     """
     tables = await site.make_tables()
     site.platform.tables.faults.lose_answers = 1
-    with pytest.raises(StoreUnclear):
+    with pytest.raises(StoreResultUnknown):
         await tables.transact(put("a"))
     assert site.platform.tables.counters.writes == 1
     assert (await tables.read("t", "a")).revision == 1
--- a/packages/mustardquay-standins/src/mustardquay_standins/fleets.py
+++ b/packages/mustardquay-standins/src/mustardquay_standins/fleets.py
@@ -9,7 +9,7 @@
 from random import Random
 
 from mustardquay import Contract, Role, VirtualClock
-from mustardquay.logs import HEAD, TABLE
+from mustardquay.configuration_log import CONFIGURATIONS, HEAD_KEY
 from mustardquay.orders import ORDERS, Desired
 from mustardquay.plans import PlannedChange, Release
 from mustardquay.revisions import Configuration
@@ -43,12 +43,12 @@
     def put(self, configuration: Configuration) -> None:
         """Set the configuration and the head row."""
         self.configuration = configuration
-        write = Write(TABLE, HEAD, {"version": configuration.version})
+        write = Write(CONFIGURATIONS, HEAD_KEY, {"version": configuration.version})
         self._tables.apply(Transaction(writes=(write,)))
 
     async def poll(self) -> Row | None:
         """Return the head row."""
-        return self._tables.read(TABLE, HEAD)
+        return self._tables.read(CONFIGURATIONS, HEAD_KEY)
 
 
 class Fleet:
--- a/packages/mustardquay-standins/src/mustardquay_standins/sites.py
+++ b/packages/mustardquay-standins/src/mustardquay_standins/sites.py
@@ -16,7 +16,7 @@
 from mustardquay.documents import (
     ContractDocument,
     LatenessDocument,
-    read_contract,
+    parse_contract,
 )
 from mustardquay.events import Event
 from mustardquay.plans import Release
@@ -71,7 +71,7 @@
         self._relayed = relayed
         self.platform = PlatformStandin(seed=seed)
         self.contracts = [
-            read_contract(path.read_text(encoding="utf-8"), str(path))
+            parse_contract(path.read_text(encoding="utf-8"), str(path))
             for path in sorted((self._folder / "contracts").glob("*.ini"))
         ]
         if lateness is not None:
--- a/packages/mustardquay-standins/src/mustardquay_standins/stores.py
+++ b/packages/mustardquay-standins/src/mustardquay_standins/stores.py
@@ -8,8 +8,8 @@
 from datetime import timedelta
 
 from mustardquay.clocks import Clock
-from mustardquay.errors import StoreUnavailable, StoreUnclear
-from mustardquay.machines import OrderAnswer
+from mustardquay.errors import StoreResultUnknown, StoreUnavailable
+from mustardquay.order_state_machine import OrderResult
 from mustardquay.orders import Desired, EngineState, Order
 from mustardquay.tables import Committed, Conflict, Row, Transaction
 
@@ -48,13 +48,13 @@
         self._check()
         if self.lose_calls:
             self.lose_calls -= 1
-            raise StoreUnclear("The call was lost; read back.")
+            raise StoreResultUnknown("The call was lost; read back.")
         result = self.tables.apply(transaction)
         if not result:
             self.counters.conflicts += 1
         if self.lose_answers:
             self.lose_answers -= 1
-            raise StoreUnclear("The answer was lost; read back.")
+            raise StoreResultUnknown("The answer was lost; read back.")
         return replace(result, era=self.era) if result else result
 
     async def read(self, table: str, key: str) -> Row | None:
@@ -146,22 +146,22 @@
             self._fence,
         )
 
-    async def send_order(self, order: Order, timeout: timedelta) -> OrderAnswer:
+    async def send_order(self, order: Order, timeout: timedelta) -> OrderResult:
         """Take an order."""
         if self.down:
-            return OrderAnswer.LOST
+            return OrderResult.LOST
         self._advance()
         if order.fence < self._fence or self._order is not None:
             self.conflicts += 1
         if order.fence < self._fence and self._fencing:
-            return OrderAnswer.STALE
+            return OrderResult.STALE
         if self._order is not None:
-            return OrderAnswer.BUSY
+            return OrderResult.BUSY
         self._fence = max(order.fence, self._fence)
         self._order = order
         self._ends_at = self._clock.monotonic() + self._duration
         self.orders.append(order)
-        return OrderAnswer.ACCEPTED
+        return OrderResult.ACCEPTED
 
     def crash(self, desired: Desired) -> None:
         """Come back as `desired`, in the middle of whatever was under way."""
--- a/packages/mustardquay/src/mustardquay/clocks.py
+++ b/packages/mustardquay/src/mustardquay/clocks.py
@@ -4,7 +4,7 @@
 from datetime import UTC, datetime, timedelta
 from typing import Protocol
 
-__all__ = ["Clock", "SuspendClock", "SystemClock", "VirtualClock"]
+__all__ = ["Clock", "BootTimeClock", "SystemClock", "VirtualClock"]
 
 
 class Clock(Protocol):
@@ -29,7 +29,7 @@
         return timedelta(seconds=time.monotonic())
 
 
-class SuspendClock(SystemClock):
+class BootTimeClock(SystemClock):
     """A clock whose monotonic time also counts while the machine is suspended.
 
     With the usual monotonic clock, a lease holder that was suspended would still
--- a/packages/mustardquay/src/mustardquay/logs.py
+++ b/packages/mustardquay/src/mustardquay/configuration_log.py
@@ -16,23 +16,23 @@
 __all__ = [
     "CHANGE_PREFIX",
     "ENTRY_PREFIX",
-    "HEAD",
-    "SNAPSHOT",
-    "TABLE",
+    "HEAD_KEY",
+    "SNAPSHOT_KEY",
+    "CONFIGURATIONS",
     "Accepted",
-    "Overtaken",
+    "HeadMoved",
     "build_transaction",
     "decode_snapshot",
     "encode_snapshot",
     "interpret_result",
-    "name_entry",
-    "name_snapshot",
+    "build_entry_key",
+    "build_snapshot_name",
     "read_version",
 ]
 
-TABLE = "configurations"
-HEAD = "head"
-SNAPSHOT = "snapshot"
+CONFIGURATIONS = "configurations"
+HEAD_KEY = "head"
+SNAPSHOT_KEY = "snapshot"
 ENTRY_PREFIX = "entry/"
 CHANGE_PREFIX = "change/"
 
@@ -45,7 +45,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Overtaken:
+class HeadMoved:
     """Another edit was accepted first; check this one against the new head."""
 
     version: int
@@ -60,12 +60,12 @@
     releases: tuple[Release, ...]
 
 
-def name_entry(version: int) -> str:
+def build_entry_key(version: int) -> str:
     """Return the key of an entry; keys sort by version."""
     return f"{ENTRY_PREFIX}{version:012d}"
 
 
-def name_snapshot(version: int) -> str:
+def build_snapshot_name(version: int) -> str:
     """Return the name of a snapshot in the object store."""
     return f"configurations/{version:012d}"
 
@@ -87,20 +87,20 @@
     version = {"version": entry.version}
     return Transaction(
         conditions=(
-            Condition(TABLE, HEAD, 0 if head is None else head.revision),
-            Condition(TABLE, change, 0),
+            Condition(CONFIGURATIONS, HEAD_KEY, 0 if head is None else head.revision),
+            Condition(CONFIGURATIONS, change, 0),
         ),
         writes=(
-            Write(TABLE, HEAD, version),
-            Write(TABLE, name_entry(entry.version), encode(entry)),
-            Write(TABLE, change, version),
+            Write(CONFIGURATIONS, HEAD_KEY, version),
+            Write(CONFIGURATIONS, build_entry_key(entry.version), encode(entry)),
+            Write(CONFIGURATIONS, change, version),
         ),
     )
 
 
 def interpret_result(
     entry: Entry, result: Committed | Conflict
-) -> Accepted | Overtaken:
+) -> Accepted | HeadMoved:
     """Return what a transaction's result means for the edit.
 
     A conflict holds the current row of each failed condition. If only the head is
@@ -113,8 +113,8 @@
     for row in rows:
         if row.key == CHANGE_PREFIX + entry.edit.change_id:
             return Accepted(read_version(row))
-    heads = [row for row in rows if row.key == HEAD]
-    return Overtaken(read_version(heads[0] if heads else None))
+    heads = [row for row in rows if row.key == HEAD_KEY]
+    return HeadMoved(read_version(heads[0] if heads else None))
 
 
 def encode_snapshot(configuration: Configuration) -> bytes:
--- a/packages/mustardquay/src/mustardquay/costs.py
+++ b/packages/mustardquay/src/mustardquay/costs.py
@@ -14,17 +14,17 @@
 from .revisions import Configuration, Edit
 
 __all__ = [
-    "SMALL_FLEET",
+    "SMALL_FLEET_ENGINES",
     "Cost",
     "FleetUpstream",
     "check_costs",
     "compute_cost",
-    "count_spare",
+    "count_spare_engines",
     "select_targets",
 ]
 
 TOLERANCE = 1e-9
-SMALL_FLEET = 300
+SMALL_FLEET_ENGINES = 300
 """Up to this many engines, spare engines are counted across all zones together."""
 
 
@@ -106,12 +106,12 @@
     )
 
 
-def count_spare(shares: float, engines: int, accept_overload: bool) -> int:
+def count_spare_engines(shares: float, engines: int, accept_overload: bool) -> int:
     """Return how many of a number of equal engines the contracts can spare.
 
-    >>> count_spare(0.75, 9, False), count_spare(1.0, 9, False)
+    >>> count_spare_engines(0.75, 9, False), count_spare_engines(1.0, 9, False)
     (2, 0)
-    >>> count_spare(1.0, 9, True)
+    >>> count_spare_engines(1.0, 9, True)
     1
     """
     spare = int(engines * (1 - shares) + TOLERANCE)
@@ -162,7 +162,7 @@
     for name, engines in _group_engines(release, fleet).items():
         if all(item.models[release.model] == release.version for item in engines):
             continue
-        if count_spare(shares, len(engines), release.accept_overload) < 1:
+        if count_spare_engines(shares, len(engines), release.accept_overload) < 1:
             raise DocumentError(
                 f"The contracts over {shares:.4f} of the fleet spare none of the "
                 f"{len(engines)} engines {name} for the release of "
@@ -180,7 +180,9 @@
         zone = item.availability_zone
         if release.availability_zones and zone not in release.availability_zones:
             continue
-        groups["in all" if len(fleet) <= SMALL_FLEET else f"in {zone}"].append(item)
+        groups["in all" if len(fleet) <= SMALL_FLEET_ENGINES else f"in {zone}"].append(
+            item
+        )
     return groups
 
 
--- a/packages/mustardquay/src/mustardquay/documents.py
+++ b/packages/mustardquay/src/mustardquay/documents.py
@@ -24,9 +24,9 @@
 
 from .contracts import Contract, Lateness
 from .errors import DocumentError
-from .faults import INSTANT_REMEDY, describe_faults
-from .fields import Duration, Words
+from .fields import Duration, SplitWords
 from .plans import Action, PlannedChange, Scope
+from .validation_errors import TIMESTAMP_REMEDY, describe_errors
 
 __all__ = [
     "ChangeDocument",
@@ -39,9 +39,9 @@
     "describe_contract",
     "hash_key",
     "hash_keys",
-    "read_change",
-    "read_contract",
-    "read_sections",
+    "parse_change",
+    "parse_contract",
+    "parse_sections",
 ]
 
 Model = TypeVar("Model", bound=BaseModel)
@@ -63,15 +63,15 @@
         return [hash_key(key) for key in adapter.validate_python(tuple(keys))]
     except ValidationError as error:
         raise DocumentError(
-            describe_faults(error, lambda path: f"{source}: keys")
+            describe_errors(error, lambda path: f"{source}: keys")
         ) from None
 
 
 Name = Annotated[str, StringConstraints(pattern=r"^[A-Za-z0-9][A-Za-z0-9._-]{0,62}$")]
 Digest = Annotated[str, StringConstraints(pattern=r"^[0-9a-f]{64}$")]
 Key = Annotated[str, StringConstraints(pattern=r"^[!-~]{8,512}$")]
-Names = Annotated[tuple[Name, ...], Words]
-Texts = Annotated[tuple[Annotated[str, Field(min_length=1)], ...], Words]
+Names = Annotated[tuple[Name, ...], SplitWords]
+Texts = Annotated[tuple[Annotated[str, Field(min_length=1)], ...], SplitWords]
 
 
 def _refuse_number(value: Any) -> Any:
@@ -79,7 +79,7 @@
     if isinstance(value, int | float) or (
         isinstance(value, str) and value.replace(".", "").lstrip("+-").isdigit()
     ):
-        raise ValueError(INSTANT_REMEDY)
+        raise ValueError(TIMESTAMP_REMEDY)
     return value
 
 
@@ -109,9 +109,9 @@
     """Section `contract`: the agreement with one customer."""
 
     customer: Name
-    keys: Annotated[tuple[Key, ...], Words] = ()
+    keys: Annotated[tuple[Key, ...], SplitWords] = ()
     """Bearer keys in plain text, of which only digests are stored."""
-    key_hashes: Annotated[tuple[Digest, ...], Words] = ()
+    key_hashes: Annotated[tuple[Digest, ...], SplitWords] = ()
     share: Annotated[float, Field(gt=0, le=1, allow_inf_nan=False)]
     priority: Annotated[int, Field(ge=0, le=9)] = 0
     models: Texts = ()
@@ -208,28 +208,28 @@
     }
 
 
-def read_contract(text: str, source: str) -> ContractDocument:
+def parse_contract(text: str, source: str) -> ContractDocument:
     """Parse a contract from INI text; errors name `source`.
 
     Raises `DocumentError`, which names source, section, field and remedy.
     """
-    sections = read_sections(text, source, "contract", "lateness")
+    sections = parse_sections(text, source, "contract", "lateness")
     fields = sections["contract"]
     if "lateness" in sections:
         fields["lateness"] = sections["lateness"]
     return check_document(ContractDocument, fields, source, "contract")
 
 
-def read_change(text: str, source: str) -> ChangeDocument:
+def parse_change(text: str, source: str) -> ChangeDocument:
     """Parse a planned change from INI text.
 
     Raises `DocumentError`, which names source, section, field and remedy.
     """
-    fields = read_sections(text, source, "change")["change"]
+    fields = parse_sections(text, source, "change")["change"]
     return check_document(ChangeDocument, fields, source, "change")
 
 
-def read_sections(
+def parse_sections(
     text: str, source: str, needed: str, *others: str
 ) -> dict[str, dict[str, Any]]:
     """Parse INI text; section `needed` is required, and `others` are allowed."""
@@ -272,4 +272,4 @@
     try:
         return model.model_validate(fields)
     except ValidationError as error:
-        raise DocumentError(describe_faults(error, locate)) from None
+        raise DocumentError(describe_errors(error, locate)) from None
--- a/packages/mustardquay/src/mustardquay/errors.py
+++ b/packages/mustardquay/src/mustardquay/errors.py
@@ -17,7 +17,7 @@
     "Refusal",
     "SettingsError",
     "StoreUnavailable",
-    "StoreUnclear",
+    "StoreResultUnknown",
 ]
 
 
@@ -45,7 +45,7 @@
     """The platform's service did not apply the call, which can be retried."""
 
 
-class StoreUnclear(MustardquayError):
+class StoreResultUnknown(MustardquayError):
     """A write may or may not have been applied; read the rows before continuing."""
 
 
--- a/packages/mustardquay/src/mustardquay/fields.py
+++ b/packages/mustardquay/src/mustardquay/fields.py
@@ -10,11 +10,11 @@
 
 __all__ = [
     "Duration",
-    "Words",
+    "SplitWords",
     "check_address",
     "check_socket_address",
     "check_url",
-    "read_duration",
+    "parse_duration",
     "split_words",
 ]
 
@@ -32,12 +32,12 @@
     return value
 
 
-def read_duration(value: Any) -> timedelta:
+def parse_duration(value: Any) -> timedelta:
     """Return the duration given as a number of seconds or as text.
 
     Raises `ValueError` for anything else, `nan` included.
 
-    >>> read_duration("1.5")
+    >>> parse_duration("1.5")
     datetime.timedelta(seconds=1, microseconds=500000)
     """
     if isinstance(value, timedelta):
@@ -110,12 +110,12 @@
     return value
 
 
-Words = BeforeValidator(split_words)
+SplitWords = BeforeValidator(split_words)
 """Marks a field that holds several words on one line of an INI file."""
 
 Duration = Annotated[
     timedelta,
-    BeforeValidator(read_duration),
+    BeforeValidator(parse_duration),
     AfterValidator(_check_positive),
     PlainSerializer(timedelta.total_seconds, when_used="json"),
 ]
--- a/packages/mustardquay/src/mustardquay/leases.py
+++ b/packages/mustardquay/src/mustardquay/leases.py
@@ -20,10 +20,10 @@
 
 from .tables import Committed, Condition, Conflict, Row, Transaction, Write
 
-__all__ = ["BEATS", "LEASES", "Fence", "Lease", "LeaseRows", "fence_writes"]
+__all__ = ["HEARTBEATS", "LEASES", "Fence", "Lease", "LeaseRows", "fence_writes"]
 
 LEASES = "leases"
-BEATS = "beats"
+HEARTBEATS = "beats"
 ERA_UNIT = 10**12
 """Weight of the era in a fence's number: above the versions that a store gives out in
 one era, and small enough that the number stays exact in JSON."""
@@ -51,7 +51,7 @@
     """The two rows of a domain as read; the lease row is read first."""
 
     lease: Row | None
-    beat: Row | None
+    heartbeat: Row | None
     era: int = 0
     """The era of the store when they were read; 0 if the store reports none."""
 
@@ -66,18 +66,18 @@
         return "" if self.lease is None else self.lease.value["holder"]
 
     @property
-    def beat_revision(self) -> int:
+    def heartbeat_revision(self) -> int:
         """Return the revision of the heartbeat row, 0 if there is none."""
-        return 0 if self.beat is None else self.beat.revision
+        return 0 if self.heartbeat is None else self.heartbeat.revision
 
 
 class Lease:
     """One candidate's view of the lease of one domain.
 
     The caller reads the rows, passes them to `observe`, runs the transaction that
-    `propose` returns, and passes its result to `settle`. If the answer to a
-    transaction was lost, `settle` is not called: the rows that are read next show
-    whether it was applied.
+    `propose` returns, and passes its result to `handle_result`. If the answer to a
+    transaction was lost, `handle_result` is not called: the rows that are read next
+    show whether it was applied.
     """
 
     def __init__(
@@ -158,7 +158,10 @@
         known = self._rows
         if known is None:
             self._seen_since = max(self._seen_since, now)
-        elif (known.fence, known.beat_revision) != (rows.fence, rows.beat_revision):
+        elif (known.fence, known.heartbeat_revision) != (
+            rows.fence,
+            rows.heartbeat_revision,
+        ):
             self._seen_since = now
         self._rows = rows
         if self._valid_until is not None and rows.fence != self._fence:
@@ -190,7 +193,7 @@
         self._seen_since = now
         self._is_disowned = rows.era > 0 and rows.lease is None
 
-    def settle(
+    def handle_result(
         self,
         result: Committed | Conflict,
         transaction: Transaction,
@@ -229,19 +232,19 @@
         )
 
     def _build_renewal(self) -> Transaction:
-        beat = Write(BEATS, self._domain, {"holder": self._candidate})
-        return fence_writes(self._domain, self._fence, beat)
+        heartbeat = Write(HEARTBEATS, self._domain, {"holder": self._candidate})
+        return fence_writes(self._domain, self._fence, heartbeat)
 
     def _build_takeover(self, rows: LeaseRows) -> Transaction:
         value = {"holder": self._candidate}
         return Transaction(
             conditions=(
                 Condition(LEASES, self._domain, rows.fence),
-                Condition(BEATS, self._domain, rows.beat_revision),
+                Condition(HEARTBEATS, self._domain, rows.heartbeat_revision),
             ),
             writes=(
                 Write(LEASES, self._domain, value),
-                Write(BEATS, self._domain, value),
+                Write(HEARTBEATS, self._domain, value),
             ),
         )
 
--- a/packages/mustardquay/src/mustardquay/members.py
+++ b/packages/mustardquay/src/mustardquay/membership.py
@@ -24,9 +24,9 @@
     "choose_readers",
 ]
 
-COPIES = 3
+MIN_ENTRIES_PER_AGENT = 3
 """Minimum number of entries linked to each agent, if there are that many."""
-READERS = 3
+READERS_PER_ZONE = 3
 """Number of entries of a zone that poll the head of the configuration log."""
 
 
@@ -69,8 +69,8 @@
     heartbeats is kept although it is not listed yet.
     """
 
-    def __init__(self, silence: timedelta):
-        self._silence = silence
+    def __init__(self, heartbeat_timeout: timedelta):
+        self._heartbeat_timeout = heartbeat_timeout
         self._members: dict[str, _Member] = {}
 
     def update(self, instances: Iterable[Instance], now: timedelta) -> None:
@@ -82,7 +82,9 @@
             if not self._is_heard(self._members[name], now):
                 del self._members[name]
 
-    def hear(self, name: str, incarnation: int, leaving: bool, now: timedelta) -> None:
+    def note_heartbeat(
+        self, name: str, incarnation: int, leaving: bool, now: timedelta
+    ) -> None:
         """Record a heartbeat; `incarnation` rises when the process is replaced.
 
         Heartbeats of one incarnation must arrive in order, as they do on links, so that
@@ -124,7 +126,10 @@
         return chosen
 
     def _is_heard(self, member: _Member, now: timedelta) -> bool:
-        return member.heard_at is not None and now - member.heard_at < self._silence
+        return (
+            member.heard_at is not None
+            and now - member.heard_at < self._heartbeat_timeout
+        )
 
 
 def choose_agents(
@@ -137,7 +142,8 @@
     """Return the agents that the entry `name` links to.
 
     `limit` is the mean number of links allowed for an entry of the zone. It is
-    exceeded where agents would otherwise have fewer than `COPIES` entries.
+    exceeded where agents would otherwise have fewer than `MIN_ENTRIES_PER_AGENT`
+    entries.
     """
     entry_zones = _group(entries)
     agent_zones = _group(agents)
@@ -157,7 +163,7 @@
 
 
 def choose_readers(
-    entries: Iterable[Instance], zone: str, count: int = READERS, seed: int = 0
+    entries: Iterable[Instance], zone: str, count: int = READERS_PER_ZONE, seed: int = 0
 ) -> list[str]:
     """Return the names of the entries that read the log on behalf of a zone."""
     pool = [entry for entry in entries if entry.availability_zone == zone]
@@ -176,7 +182,7 @@
     chosen = []
     for zone in sorted({agent.availability_zone for agent in agents}):
         pool = _pool_entries(zone, entry_zones, seed)
-        if name in _rank(pool, f"holders/{zone}", seed)[:READERS]:
+        if name in _rank(pool, f"holders/{zone}", seed)[:READERS_PER_ZONE]:
             chosen.append(zone)
     return chosen
 
@@ -197,18 +203,18 @@
     other zones.
     """
     pool = list(entry_zones.get(zone, ()))
-    if len(pool) >= COPIES:
+    if len(pool) >= MIN_ENTRIES_PER_AGENT:
         return pool
     others = [other for other in entry_zones if other != zone]
     for other in sorted(others, key=lambda other: (_hash(seed, zone, other), other)):
         pool += entry_zones[other]
-        if len(pool) >= COPIES:
+        if len(pool) >= MIN_ENTRIES_PER_AGENT:
             break
     return pool
 
 
 def _count_copies(entries: int, agents: int, limit: int) -> int:
-    return min(max(COPIES, limit * entries // agents), entries)
+    return min(max(MIN_ENTRIES_PER_AGENT, limit * entries // agents), entries)
 
 
 def _rank(pool: Iterable[Instance], key: str, seed: int) -> list[str]:
--- a/packages/mustardquay/src/mustardquay/machines.py
+++ b/packages/mustardquay/src/mustardquay/order_state_machine.py
@@ -11,7 +11,7 @@
 
 from .orders import EngineState, Order, OrderRow, matches_desired
 
-__all__ = ["OrderAnswer", "OrderMachine", "Step"]
+__all__ = ["OrderResult", "OrderStateMachine", "Step"]
 
 ZERO = timedelta()
 
@@ -33,7 +33,7 @@
     """Another agent has claimed the engine: send it no more orders."""
 
 
-class OrderAnswer(StrEnum):
+class OrderResult(StrEnum):
     """The result of sending an order."""
 
     ACCEPTED = "accepted"
@@ -42,19 +42,21 @@
     LOST = "lost"
 
 
-class OrderMachine:
+class OrderStateMachine:
     """Decides the steps of one agent.
 
     `fencing` says whether the engine refuses an order with an old fencing number.
-    `longest_order` is the maximum time in which an engine carries out an order.
-    `permit` is the maximum time from the start of a reread until the engine either
-    has the order or will never get it; the caller cancels a slower call.
+    `max_order_duration` is the maximum time in which an engine carries out an order.
+    `send_window` is the maximum time from the start of a reread until the engine
+    either has the order or will never get it; the caller cancels a slower call.
     """
 
-    def __init__(self, fencing: bool, longest_order: timedelta, permit: timedelta):
+    def __init__(
+        self, fencing: bool, max_order_duration: timedelta, send_window: timedelta
+    ):
         self._fencing = fencing
-        self._longest_order = longest_order
-        self._permit = permit
+        self._max_order_duration = max_order_duration
+        self._send_window = send_window
         self._incarnation = 0
         self._settled_at = ZERO
         self._superseded = False
@@ -120,9 +122,9 @@
         """Record that the claim row was written with this revision."""
         self._incarnation = incarnation
         # The previous agent may have read the rows just before the claim, and its
-        # order can still arrive within the permit. This applies to both kinds of
-        # engine: one that checks fencing numbers has not received ours yet.
-        self._settled_at = now + self._permit if incarnation > 1 else now
+        # order can still arrive within the send window. This applies to both kinds
+        # of engine: one that checks fencing numbers has not received ours yet.
+        self._settled_at = now + self._send_window if incarnation > 1 else now
 
     def note_store(self, available: bool) -> None:
         """Record whether the store answers."""
@@ -171,21 +173,21 @@
             return Step.WAIT
         if not idle:
             return Step.DRAIN
-        if self.get_permit(now) > ZERO:
+        if self.get_send_window(now) > ZERO:
             return Step.SEND
         return Step.REREAD
 
-    def get_permit(self, now: timedelta) -> timedelta:
+    def get_send_window(self, now: timedelta) -> timedelta:
         """Return the time left for sending an order."""
         if self._reread_at is None:
             return ZERO
-        return max(self._reread_at + self._permit - now, ZERO)
+        return max(self._reread_at + self._send_window - now, ZERO)
 
     def begin_order(self, now: timedelta, idle: bool = True) -> Order | None:
-        """Return the order to send at once, or None if the permit has expired.
+        """Return the order to send at once, or None if the send window is over.
 
         A process that was paused after the reread gets None and rereads the rows. The
-        caller limits the call to `get_permit(now)`.
+        caller limits the call to `get_send_window(now)`.
         """
         if self.decide(now, idle) is not Step.SEND:
             return None
@@ -195,16 +197,16 @@
         self._accepted = False
         return self._order
 
-    def end_order(self, answer: OrderAnswer, now: timedelta) -> None:
+    def end_order(self, answer: OrderResult, now: timedelta) -> None:
         """Record the result of sending the order."""
         self._reread_at = None
-        if answer is OrderAnswer.ACCEPTED:
+        if answer is OrderResult.ACCEPTED:
             self._accepted = True
             self._sent_at = now
-        elif answer is not OrderAnswer.LOST:
+        elif answer is not OrderResult.LOST:
             self._order = None
             self._state = None
-            self._superseded = answer is OrderAnswer.STALE
+            self._superseded = answer is OrderResult.STALE
 
     def _is_settled(self) -> bool:
         if self._state is None or self._order is not None:
@@ -221,8 +223,8 @@
         if state.generation == generation and self._sent_over != generation:
             return True
         # The answer was lost, and possibly the order too. The order may still be in
-        # flight, so only a state that was requested after the permit is conclusive.
-        return asked_at >= self._sent_at + self._permit
+        # flight, so only a state requested after the send window is conclusive.
+        return asked_at >= self._sent_at + self._send_window
 
     def _is_quiet(self) -> bool:
         # An engine that ignores fencing numbers may be late to report that it is
@@ -231,4 +233,4 @@
             return self._asked_at >= self._settled_at
         if self._incarnation == 1:
             return True
-        return self._asked_at >= self._settled_at + self._longest_order
+        return self._asked_at >= self._settled_at + self._max_order_duration
--- a/packages/mustardquay/src/mustardquay/orders.py
+++ b/packages/mustardquay/src/mustardquay/orders.py
@@ -2,8 +2,8 @@
 
 An order row is declarative: it holds the state an engine should have, not the steps
 to reach it. After any crash the agent observes the engine and continues from there.
-The keys of a control domain's rows have a common prefix. `machines` decides how an
-agent reaches the desired state.
+The keys of a control domain's rows have a common prefix. The module
+`order_state_machine` decides how an agent reaches the desired state.
 """
 
 from collections.abc import Mapping
@@ -12,9 +12,9 @@
 from .works import Role
 
 __all__ = [
-    "CLAIMS",
+    "ENGINE_CLAIMS",
     "ORDERS",
-    "REPORTS",
+    "ENGINE_REPORTS",
     "Claim",
     "Desired",
     "EngineReport",
@@ -22,12 +22,12 @@
     "Order",
     "OrderRow",
     "matches_desired",
-    "name_engine",
+    "build_engine_key",
 ]
 
 ORDERS = "orders"
-CLAIMS = "engine_claims"
-REPORTS = "engine_reports"
+ENGINE_CLAIMS = "engine_claims"
+ENGINE_REPORTS = "engine_reports"
 
 
 @dataclass(frozen=True, slots=True)
@@ -107,10 +107,10 @@
     desired: Desired
 
 
-def name_engine(domain: str, upstream: str) -> str:
+def build_engine_key(domain: str, upstream: str) -> str:
     """Return the key of an engine's rows.
 
-    >>> name_engine("linz", "runner-1")
+    >>> build_engine_key("linz", "runner-1")
     'linz/runner-1'
     """
     return f"{domain}/{upstream}"
--- a/packages/mustardquay/src/mustardquay/releases.py
+++ b/packages/mustardquay/src/mustardquay/releases.py
@@ -4,10 +4,10 @@
 
 from pydantic import Field, StringConstraints
 
-from .documents import Document, Texts, check_document, read_sections
+from .documents import Document, Texts, check_document, parse_sections
 from .plans import Release
 
-__all__ = ["ReleaseDocument", "describe_release", "read_release"]
+__all__ = ["ReleaseDocument", "describe_release", "parse_release"]
 
 Text = Annotated[str, StringConstraints(pattern=r"^[!-~]{1,200}$")]
 
@@ -44,10 +44,10 @@
     }
 
 
-def read_release(text: str, source: str) -> ReleaseDocument:
+def parse_release(text: str, source: str) -> ReleaseDocument:
     """Parse a release from INI text.
 
     Raises `DocumentError`, which names source, section, field and remedy.
     """
-    fields = read_sections(text, source, "release")["release"]
+    fields = parse_sections(text, source, "release")["release"]
     return check_document(ReleaseDocument, fields, source, "release")
--- a/packages/mustardquay/src/mustardquay/revisions.py
+++ b/packages/mustardquay/src/mustardquay/revisions.py
@@ -2,7 +2,8 @@
 
 The configuration results from the entries of an append-only log. An edit states the
 revision of each item that it amends, so that of two concurrent edits one succeeds and
-the other gets a conflict. `logs` maps the log to rows of tables.
+the other gets a conflict. The module
+`configuration_log` maps the log to rows of tables.
 """
 
 from collections.abc import Iterable, Mapping
@@ -112,7 +113,7 @@
     owners: Mapping[str, str] = field(default_factory=dict, repr=False)
     """Customer by hash of its bearer key."""
 
-    def find_customer(self, key_hash: str) -> Contract | None:
+    def find_contract(self, key_hash: str) -> Contract | None:
         """Return the contract whose bearer key has this hash, in constant time."""
         customer = self.owners.get(key_hash)
         if customer is None:
--- a/packages/mustardquay/src/mustardquay/roles.py
+++ b/packages/mustardquay/src/mustardquay/roles.py
@@ -22,10 +22,11 @@
     "RolePlanner",
     "RoleRates",
     "RoleSettings",
-    "predict_served",
+    "predict_goodput",
 ]
 
 SHORT_ANSWER = 8
+"""Maximum output tokens of a short answer."""
 FULL = 0.85
 """Utilisation of an engine above which queueing makes answers late."""
 HEADROOM_WEIGHT = 0.02
@@ -36,14 +37,17 @@
 
 @dataclass(frozen=True, slots=True)
 class Demand:
-    """Rates of work a second, for requests with short and with longer answers."""
-
-    reads: float = 0.0
-    read_tokens: float = 0.0
-    """Uncached prompt tokens of requests with short answers."""
-    drafts: float = 0.0
-    draft_tokens: float = 0.0
-    """Uncached prompt tokens of requests with longer answers."""
+    """Rates of work a second.
+
+    Requests are short if their answers have at most `SHORT_ANSWER` tokens, else long.
+    """
+
+    short_requests: float = 0.0
+    short_prompt_tokens: float = 0.0
+    """Uncached prompt tokens of the short requests."""
+    long_requests: float = 0.0
+    long_prompt_tokens: float = 0.0
+    """Uncached prompt tokens of the long requests."""
     output_tokens: float = 0.0
 
 
@@ -54,7 +58,7 @@
     prefill: float
     output: float
     """Total over all concurrent streams; 0 if it runs no streams in this role."""
-    prefill_beside: float = 0.0
+    prefill_while_decoding: float = 0.0
     """Prompt tokens a second while a full set of streams is running, which then bears
     the fixed cost of each step; 0 if not known."""
 
@@ -64,7 +68,7 @@
     """The deployment's settings for role changes."""
 
     rates: Mapping[Role, RoleRates]
-    change_price: float = 2.0
+    change_cost: float = 2.0
     """Net answers that a change must gain; higher values mean fewer changes."""
     horizon: timedelta = timedelta(seconds=45)
     change_time: timedelta = timedelta(seconds=8)
@@ -135,7 +139,9 @@
 Rates = Mapping[Role, RoleRates]
 
 
-def predict_served(demands: tuple[Demand, Demand], split: Split, rates: Rates) -> float:
+def predict_goodput(
+    demands: tuple[Demand, Demand], split: Split, rates: Rates
+) -> float:
     """Return the weighted goodput of a split, in answers a second.
 
     Demand within the contracts' shares is served first and counts three times; the
@@ -146,14 +152,19 @@
     entitled, rest = demands
     worth = ENTITLED_WEIGHT * _fill(entitled, room, rates) + _fill(rest, room, rates)
     headroom = sum(room.values()) / max(sum(split.values()), 1)
-    total = entitled.reads + entitled.drafts + rest.reads + rest.drafts
+    total = (
+        entitled.short_requests
+        + entitled.long_requests
+        + rest.short_requests
+        + rest.long_requests
+    )
     return worth + HEADROOM_WEIGHT * total * headroom
 
 
 def _fill(demand: Demand, room: dict[Role, float], rates: Rates) -> float:
     """Allocate `room` to the demand; return the answers a second.
 
-    Longer answers are allocated to decode engines, then to mixed ones. Short answers
+    Long requests are allocated to decode engines, then to mixed ones. Short requests
     are allocated to prefill engines, then to the remaining capacity.
     """
     drafts_left = 1.0
@@ -162,9 +173,11 @@
         drafts_left -= _take_room(room, role, need, drafts_left)
     reads_left = 1.0
     for role in GENERATION_ROLES:
-        need = demand.read_tokens / rates[role].prefill
+        need = demand.short_prompt_tokens / rates[role].prefill
         reads_left -= _take_room(room, role, need, reads_left)
-    return demand.reads * (1 - reads_left) + demand.drafts * (1 - drafts_left)
+    return demand.short_requests * (1 - reads_left) + demand.long_requests * (
+        1 - drafts_left
+    )
 
 
 def _take_room(
@@ -176,8 +189,8 @@
 
 
 def _draft_seconds(demand: Demand, rates: RoleRates) -> float:
-    prefill = rates.prefill_beside or rates.prefill
-    return demand.draft_tokens / prefill + demand.output_tokens / rates.output
+    prefill = rates.prefill_while_decoding or rates.prefill
+    return demand.long_prompt_tokens / prefill + demand.output_tokens / rates.output
 
 
 class RolePlanner:
@@ -216,7 +229,7 @@
             key=lambda change: change.gain,
             default=None,
         )
-        if best is None or best.gain <= self._settings.change_price:
+        if best is None or best.gain <= self._settings.change_cost:
             return None
         self._note_change(best.upstream, engines, now)
         return best
@@ -253,11 +266,11 @@
         self, demand: tuple[Demand, Demand], split: Split, during: Split, after: Split
     ) -> float:
         settings = self._settings
-        now = predict_served(demand, split, settings.rates)
-        then = predict_served(demand, after, settings.rates)
+        now = predict_goodput(demand, split, settings.rates)
+        then = predict_goodput(demand, after, settings.rates)
         if then < now * (1.0 + settings.hysteresis):
             return 0.0
-        away = now - predict_served(demand, during, settings.rates)
+        away = now - predict_goodput(demand, during, settings.rates)
         lost = away * settings.change_time.total_seconds()
         left = settings.horizon - settings.change_time
         return (then - now) * left.total_seconds() - lost
--- a/packages/mustardquay/src/mustardquay/rollouts.py
+++ b/packages/mustardquay/src/mustardquay/rollouts.py
@@ -9,7 +9,7 @@
 from dataclasses import dataclass, replace
 from datetime import datetime
 
-from .costs import FleetUpstream, count_spare, select_targets
+from .costs import FleetUpstream, count_spare_engines, select_targets
 from .orders import Desired, EngineReport, OrderRow
 from .plans import Action, PlannedChange, Release
 from .revisions import Configuration
@@ -205,7 +205,7 @@
     serving = [
         item for item in fleet if item.row and release.model in item.row.desired.models
     ]
-    spare = count_spare(shares, len(serving), release.accept_overload)
+    spare = count_spare_engines(shares, len(serving), release.accept_overload)
     largest = max(1, len(serving) // LARGEST_PART)
     away = sum(not item.is_available for item in serving)
     free = min(spare, largest) - away
--- a/packages/mustardquay/src/mustardquay/store_eras.py
+++ b/packages/mustardquay/src/mustardquay/store_eras.py
@@ -8,7 +8,7 @@
 from dataclasses import dataclass
 from enum import StrEnum
 
-__all__ = ["EraBook", "EraNews", "StorePosition"]
+__all__ = ["EraTracker", "EraChange", "StorePosition"]
 
 
 @dataclass(frozen=True, slots=True)
@@ -19,36 +19,36 @@
     """0 for a store that reports none."""
     version: int
 
-    def follows_return(self, known: "StorePosition | None") -> bool:
+    def follows_restore(self, known: "StorePosition | None") -> bool:
         """Return whether the store was restored from a copy after `known`."""
         return known is not None and self.era > known.era
 
 
-class EraNews(StrEnum):
+class EraChange(StrEnum):
     """How the era of an answer compares with the newest one seen."""
 
     SAME = "same"
     NEW = "new"
     """The store was restored from a copy since the last answer."""
-    OVER = "over"
+    OUTDATED = "over"
     """The answer is from before the last restore and must be ignored."""
 
 
 @dataclass(slots=True)
-class EraBook:
+class EraTracker:
     """The newest era in any answer of the store."""
 
     current: int | None = None
     """None before the first answer with an era."""
 
-    def take(self, era: int) -> EraNews:
+    def observe(self, era: int) -> EraChange:
         """Record the era of an answer.
 
-        >>> book = EraBook()
-        >>> [book.take(era).value for era in (1, 1, 2, 1)]
+        >>> book = EraTracker()
+        >>> [book.observe(era).value for era in (1, 1, 2, 1)]
         ['same', 'same', 'new', 'over']
         """
         known, self.current = self.current, max(era, self.current or 0)
         if known is None or era == known:
-            return EraNews.SAME
-        return EraNews.NEW if era > known else EraNews.OVER
+            return EraChange.SAME
+        return EraChange.NEW if era > known else EraChange.OUTDATED
--- a/packages/mustardquay/src/mustardquay/tables.py
+++ b/packages/mustardquay/src/mustardquay/tables.py
@@ -82,7 +82,7 @@
     """The transactional table service.
 
     Calls raise `StoreUnavailable` if they are certain to have had no effect, and
-    `transact` raises `StoreUnclear` if its answer was lost.
+    `transact` raises `StoreResultUnknown` if its answer was lost.
     """
 
     async def transact(self, transaction: Transaction) -> Committed | Conflict:
@@ -101,7 +101,7 @@
     """The object store: write-once values by name."""
 
     async def put(self, name: str, data: bytes) -> None:
-        """Store `data`; raises `StoreUnavailable` or `StoreUnclear`."""
+        """Store `data`; raises `StoreUnavailable` or `StoreResultUnknown`."""
 
     async def get(self, name: str) -> bytes | None:
         """Return the object, or None; raises `StoreUnavailable`."""
--- a/packages/mustardquay/src/mustardquay/faults.py
+++ b/packages/mustardquay/src/mustardquay/validation_errors.py
@@ -5,20 +5,20 @@
 
 from pydantic import ValidationError
 
-__all__ = ["INSTANT_REMEDY", "Locate", "describe_fault", "describe_faults"]
+__all__ = ["TIMESTAMP_REMEDY", "FieldLocator", "describe_error", "describe_errors"]
 
-Locate = Callable[[tuple[int | str, ...]], str]
+FieldLocator = Callable[[tuple[int | str, ...]], str]
 """Returns the readable location of a field, given its path in the model."""
 
-INSTANT_REMEDY = (
+TIMESTAMP_REMEDY = (
     "must be a timestamp with a time zone; write one such as 2026-12-03T04:00:00Z"
 )
 
 _REMEDIES = {
     "bool_parsing": "must be yes or no; write true or false",
-    "datetime_from_date_parsing": INSTANT_REMEDY,
-    "datetime_parsing": INSTANT_REMEDY,
-    "datetime_type": INSTANT_REMEDY,
+    "datetime_from_date_parsing": TIMESTAMP_REMEDY,
+    "datetime_parsing": TIMESTAMP_REMEDY,
+    "datetime_type": TIMESTAMP_REMEDY,
     "extra_forbidden": "is unknown; remove it or correct its spelling",
     "float_parsing": "must be a number; write one such as 0.25",
     "float_type": "must be a number; write one such as 0.25",
@@ -29,23 +29,23 @@
     "missing": "is missing; add it",
     "string_too_short": "must not be empty; write a value",
     "string_type": "must be text; write it as a string",
-    "timezone_aware": INSTANT_REMEDY,
+    "timezone_aware": TIMESTAMP_REMEDY,
 }
 """What is wrong and the remedy, by pydantic's error type."""
 
 
-def describe_faults(error: ValidationError, locate: Locate) -> str:
+def describe_errors(error: ValidationError, locate: FieldLocator) -> str:
     """Return one line for each error: its location, what is wrong, the remedy.
 
     The value itself is omitted, since it may be a secret.
     """
     return "\n".join(
-        f"{locate(fault['loc'])}: {describe_fault(fault)}."
+        f"{locate(fault['loc'])}: {describe_error(fault)}."
         for fault in error.errors(include_input=False, include_url=False)
     )
 
 
-def describe_fault(fault: Mapping[str, Any]) -> str:
+def describe_error(fault: Mapping[str, Any]) -> str:
     """Return what is wrong with one field and the remedy, without its value."""
     context = fault.get("ctx", {})
     match fault["type"]:
--- a/packages/mustardquay/tests/test_costs.py
+++ b/packages/mustardquay/tests/test_costs.py
@@ -7,7 +7,12 @@
 from hypothesis import given, settings, strategies as st
 
 from mustardquay.contracts import Contract
-from mustardquay.costs import FleetUpstream, check_costs, compute_cost, count_spare
+from mustardquay.costs import (
+    FleetUpstream,
+    check_costs,
+    compute_cost,
+    count_spare_engines,
+)
 from mustardquay.errors import DocumentError
 from mustardquay.orders import Desired, EngineReport, OrderRow
 from mustardquay.plans import Action, PlannedChange, Release, Scope
@@ -142,7 +147,7 @@
         if taken and proposals[0][1].desired.serving:
             released += taken
     away = sum(not status.is_available for status in fleet)
-    assert not released or len(released) + away <= count_spare(share, 9, False)
+    assert not released or len(released) + away <= count_spare_engines(share, 9, False)
 
 
 def test_a_change_begins_at_its_time():
--- a/packages/mustardquay/tests/test_lease_eras.py
+++ b/packages/mustardquay/tests/test_lease_eras.py
@@ -5,7 +5,7 @@
 from hypothesis import settings, strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
 
-from mustardquay.leases import BEATS, LEASES, Fence, Lease, LeaseRows
+from mustardquay.leases import HEARTBEATS, LEASES, Fence, Lease, LeaseRows
 from mustardquay.tables import Committed, Conflict, Row
 
 DOMAIN = "stages"
@@ -32,7 +32,7 @@
 
     def read(self):
         lease = self.rows.get((LEASES, DOMAIN))
-        return LeaseRows(lease, self.rows.get((BEATS, DOMAIN)), self.era)
+        return LeaseRows(lease, self.rows.get((HEARTBEATS, DOMAIN)), self.era)
 
     def transact(self, transaction):
         for each in transaction.conditions:
@@ -50,7 +50,7 @@
     lease.observe(store.read(), now)
     transaction = lease.propose(now)
     if transaction is not None:
-        lease.settle(store.transact(transaction), transaction, now)
+        lease.handle_result(store.transact(transaction), transaction, now)
 
 
 def test_a_holder_that_the_copy_names_does_not_order_beside_its_successor():
@@ -116,7 +116,7 @@
             return
         result = self.store.transact(transaction)
         if not is_lost:
-            self.leases[number].settle(result, transaction, self.now)
+            self.leases[number].handle_result(result, transaction, self.now)
 
     @rule()
     def let_all_order(self):
--- a/packages/mustardquay/tests/test_leases.py
+++ b/packages/mustardquay/tests/test_leases.py
@@ -5,8 +5,8 @@
 from hypothesis import settings, strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
 
-from mustardquay.leases import BEATS, LEASES, Lease, LeaseRows, fence_writes
-from mustardquay.rows import apply_transaction
+from mustardquay.leases import HEARTBEATS, LEASES, Lease, LeaseRows, fence_writes
+from mustardquay.memory_tables import apply_transaction
 from mustardquay.tables import Committed, Write
 
 DOMAIN = "linz"
@@ -66,8 +66,11 @@
 
     @rule(number=CANDIDATES)
     def read(self, number):
-        lease, beat = self.rows.get((LEASES, DOMAIN)), self.rows.get((BEATS, DOMAIN))
-        self.candidates[number].read = LeaseRows(lease, beat)
+        lease, heartbeat = (
+            self.rows.get((LEASES, DOMAIN)),
+            self.rows.get((HEARTBEATS, DOMAIN)),
+        )
+        self.candidates[number].read = LeaseRows(lease, heartbeat)
 
     @rule(number=CANDIDATES)
     def propose(self, number):
@@ -97,7 +100,7 @@
     def settle(self, number):
         candidate = self.candidates[number]
         if candidate.answer:
-            candidate.lease.settle(*candidate.answer)
+            candidate.lease.handle_result(*candidate.answer)
             candidate.answer = None
 
     @rule(number=CANDIDATES)
@@ -167,11 +170,11 @@
     old, new = Lease(DOMAIN, "old", TERM), Lease(DOMAIN, "new", TERM)
 
     def turn(lease, now):
-        read = LeaseRows(rows.get((LEASES, DOMAIN)), rows.get((BEATS, DOMAIN)))
+        read = LeaseRows(rows.get((LEASES, DOMAIN)), rows.get((HEARTBEATS, DOMAIN)))
         lease.observe(read, now)
         transaction = lease.propose(now)
         if transaction:
-            lease.settle(apply_transaction(rows, transaction), transaction)
+            lease.handle_result(apply_transaction(rows, transaction), transaction)
 
     turn(old, timedelta())
     write = fence_writes(DOMAIN, old.fence, Write("orders", "engine", {"by": "old"}))
@@ -196,6 +199,6 @@
     now = timedelta(seconds=10)
     lease.observe(LeaseRows(None, None), now)
     transaction = lease.propose(now)
-    lease.settle(Committed((1, 1)), transaction)
+    lease.handle_result(Committed((1, 1)), transaction)
     assert lease.is_held(now + validity / 2)
     assert not lease.is_held(now + validity)
--- a/packages/mustardquay/tests/test_logs.py
+++ b/packages/mustardquay/tests/test_logs.py
@@ -3,19 +3,20 @@
 from hypothesis import settings, strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
 
-from mustardquay.contracts import Contract
-from mustardquay.encodings import decode
-from mustardquay.errors import ConflictError, DocumentError
-from mustardquay.logs import (
+from mustardquay.configuration_log import (
+    CONFIGURATIONS,
     ENTRY_PREFIX,
-    HEAD,
-    TABLE,
+    HEAD_KEY,
     Accepted,
+    build_entry_key,
     build_transaction,
     interpret_result,
-    name_entry,
     read_version,
 )
+from mustardquay.contracts import Contract
+from mustardquay.encodings import decode
+from mustardquay.errors import ConflictError, DocumentError
+from mustardquay.memory_tables import apply_transaction
 from mustardquay.revisions import (
     Configuration,
     ContractAmendment,
@@ -25,7 +26,6 @@
     apply_entry,
     check_edit,
 )
-from mustardquay.rows import apply_transaction
 
 OPERATORS = st.integers(0, 1)
 PROCESSES = st.integers(0, 2)
@@ -59,12 +59,12 @@
 
     def list_entries(self):
         keys = sorted(key for table, key in self.rows if key.startswith(ENTRY_PREFIX))
-        return [decode(Entry, self.rows[(TABLE, key)].value) for key in keys]
+        return [decode(Entry, self.rows[(CONFIGURATIONS, key)].value) for key in keys]
 
     @rule(number=OPERATORS)
     def read(self, number):
         operator = self.operators[number]
-        operator.head = self.rows.get((TABLE, HEAD))
+        operator.head = self.rows.get((CONFIGURATIONS, HEAD_KEY))
         operator.configuration = apply_entries(Configuration(), self.list_entries())
 
     @rule(number=OPERATORS, customer=CUSTOMERS, share=SHARES)
@@ -153,7 +153,7 @@
     @invariant()
     def the_log_has_no_gap_and_no_doubled_edit(self):
         entries = self.list_entries()
-        head = read_version(self.rows.get((TABLE, HEAD)))
+        head = read_version(self.rows.get((CONFIGURATIONS, HEAD_KEY)))
         assert [entry.version for entry in entries] == list(range(1, head + 1))
         ids = [entry.edit.change_id for entry in entries]
         assert len(set(ids)) == len(ids)
@@ -161,7 +161,9 @@
     @invariant()
     def an_accepted_edit_is_never_lost(self):
         for change_id, version in self.accepted.items():
-            entry = decode(Entry, self.rows[(TABLE, name_entry(version))].value)
+            entry = decode(
+                Entry, self.rows[(CONFIGURATIONS, build_entry_key(version))].value
+            )
             assert entry.edit.change_id == change_id
 
     @invariant()
--- a/packages/mustardquay/tests/test_machines.py
+++ b/packages/mustardquay/tests/test_machines.py
@@ -12,12 +12,12 @@
     rule,
 )
 
-from mustardquay.machines import OrderAnswer, OrderMachine, Step
+from mustardquay.order_state_machine import OrderResult, OrderStateMachine, Step
 from mustardquay.orders import Desired, EngineState, OrderRow, matches_desired
 from mustardquay.works import Role
 
 LONGEST = timedelta(seconds=30)
-PERMIT = timedelta(seconds=5)
+SEND_WINDOW = timedelta(seconds=5)
 AGENTS = st.integers(0, 1)
 
 
@@ -51,15 +51,15 @@
             self.violations.append(f"old fence {order.fence} after {self.highest}")
         self.highest = max(self.highest, order.fence)
         if self.fencing and order.fence < self.fence:
-            return OrderAnswer.STALE
+            return OrderResult.STALE
         if self.running is not None:
             self.violations.append("an order while another is carried out")
-            return OrderAnswer.BUSY
+            return OrderResult.BUSY
         if self.fencing:
             self.fence = order.fence
         self.running = order
         self.ends_at = now + LONGEST
-        return OrderAnswer.ACCEPTED
+        return OrderResult.ACCEPTED
 
     def end_order(self, whole=True):
         """End the order; one that fails leaves the engine as it was."""
@@ -80,7 +80,7 @@
     """One process beside the engine; what it has begun may end late or never."""
 
     def __init__(self, fencing, now):
-        self.machine = OrderMachine(fencing, LONGEST, PERMIT)
+        self.machine = OrderStateMachine(fencing, LONGEST, SEND_WINDOW)
         self.started = now
         self.question = None
         self.answer = None
@@ -123,7 +123,7 @@
         for agent in self.agents:
             if agent.sent and self.now >= agent.send_by:
                 agent.sent = None
-                agent.end_order(OrderAnswer.LOST, self.now)
+                agent.end_order(OrderResult.LOST, self.now)
         if self.engine.running and self.now >= self.engine.ends_at:
             self.engine.end_order()
 
@@ -202,7 +202,7 @@
         order = agent.machine.begin_order(self.now)
         if order is not None:
             assert agent.sent is None
-            agent.send_by = self.now + agent.machine.get_permit(self.now)
+            agent.send_by = self.now + agent.machine.get_send_window(self.now)
             agent.sent = order
             agent.has_ended = False
         waiting = [item for item in self.agents if item.sent]
@@ -214,12 +214,12 @@
         if agent.sent is not None:
             answer = self.engine.receive(agent.sent, self.now)
             agent.sent = None
-            agent.end_order(OrderAnswer.LOST if lost else answer, self.now)
+            agent.end_order(OrderResult.LOST if lost else answer, self.now)
 
     @rule(number=AGENTS)
     def lose_answer(self, number):
         """Cut the connection to the engine; the order may still arrive."""
-        self.agents[number].end_order(OrderAnswer.LOST, self.now)
+        self.agents[number].end_order(OrderResult.LOST, self.now)
 
     @rule(whole=st.booleans())
     def end_order(self, whole):
@@ -272,7 +272,7 @@
 
 
 def make_machine(fencing=True, incarnation=1):
-    machine = OrderMachine(fencing, LONGEST, PERMIT)
+    machine = OrderStateMachine(fencing, LONGEST, SEND_WINDOW)
     machine.claim(incarnation, timedelta())
     return machine
 
@@ -297,12 +297,12 @@
     row = OrderRow(1, Desired(models={"m": "2"}))
     machine.reread(row, 1, seconds(1))
     assert machine.begin_order(seconds(1)).generation == 1
-    machine.end_order(OrderAnswer.ACCEPTED, seconds(1))
+    machine.end_order(OrderResult.ACCEPTED, seconds(1))
     machine.observe(make_state(boot="b", m="1"), seconds(2))
     assert not machine.ready and machine.decide(seconds(2)) is Step.REREAD
     machine.reread(row, 1, seconds(3))
     assert machine.begin_order(seconds(3)) is not None
-    machine.end_order(OrderAnswer.ACCEPTED, seconds(3))
+    machine.end_order(OrderResult.ACCEPTED, seconds(3))
     machine.observe(make_state(boot="b", generation=1, m="2"), seconds(4))
     assert machine.ready
 
@@ -313,7 +313,7 @@
     machine.observe(make_state(m="1"), seconds(0))
     machine.reread(OrderRow(1, Desired(models={"m": "2"})), 1, seconds(1))
     machine.begin_order(seconds(1))
-    machine.end_order(OrderAnswer.LOST, seconds(2))
+    machine.end_order(OrderResult.LOST, seconds(2))
     machine.observe(make_state(m="1"), seconds(5))
     assert machine.decide(seconds(5)) is Step.WAIT
     machine.observe(make_state(m="1"), seconds(6))
@@ -330,7 +330,7 @@
     machine.observe(make_state(m="1"), seconds(0))
     machine.reread(OrderRow(1, Desired(models={"m": "2"})), 1, seconds(1))
     machine.begin_order(seconds(1))
-    machine.end_order(OrderAnswer.ACCEPTED, seconds(2))
+    machine.end_order(OrderResult.ACCEPTED, seconds(2))
     machine.observe(make_state(m="1"), seconds(2))
     assert machine.decide(seconds(3)) is Step.WAIT
 
@@ -346,7 +346,7 @@
     machine.observe(make_state(generation=1, m="1"), seconds(0))
     machine.reread(row, 1, seconds(1))
     machine.begin_order(seconds(1))
-    machine.end_order(OrderAnswer.LOST, seconds(2))
+    machine.end_order(OrderResult.LOST, seconds(2))
     machine.observe(make_state(generation=1, m="1"), seconds(3))
     assert machine.decide(seconds(3)) is Step.WAIT
     machine.observe(make_state(generation=1, m="1"), seconds(6))
--- a/packages/mustardquay/tests/test_members.py
+++ b/packages/mustardquay/tests/test_members.py
@@ -5,8 +5,8 @@
 
 from hypothesis import given, settings, strategies as st
 
-from mustardquay.members import (
-    COPIES,
+from mustardquay.membership import (
+    MIN_ENTRIES_PER_AGENT,
     Instance,
     Membership,
     MemberState,
@@ -37,25 +37,25 @@
     membership = Membership(SILENCE)
     membership.update([make_instance("agent", 1, "linz")], START)
     assert list_states(membership, 0) is MemberState.LISTED
-    membership.hear("agent-1", 7, False, START)
+    membership.note_heartbeat("agent-1", 7, False, START)
     assert list_states(membership, 0) is MemberState.LIVE
-    membership.hear("agent-1", 7, True, START)
+    membership.note_heartbeat("agent-1", 7, True, START)
     membership.update([make_instance("agent", 1, "linz")], START)
     assert list_states(membership, 0) is MemberState.LEAVING
     assert membership.list_instances("agent", START) == []
-    membership.hear("agent-1", 6, False, START)
+    membership.note_heartbeat("agent-1", 6, False, START)
     assert list_states(membership, 0) is MemberState.LEAVING
-    membership.hear("agent-1", 7, False, START)
+    membership.note_heartbeat("agent-1", 7, False, START)
     assert list_states(membership, 0) is MemberState.LIVE
-    membership.hear("agent-1", 7, True, START)
-    membership.hear("agent-1", 8, False, START)
+    membership.note_heartbeat("agent-1", 7, True, START)
+    membership.note_heartbeat("agent-1", 8, False, START)
     assert list_states(membership, 0) is MemberState.LIVE
 
 
 def test_who_is_heard_stays_though_the_list_does_not_show_it():
     membership = Membership(SILENCE)
     membership.update([make_instance("agent", 1, "linz")], START)
-    membership.hear("agent-1", 1, False, START)
+    membership.note_heartbeat("agent-1", 1, False, START)
     membership.update([], START)
     assert list_states(membership, 3) is MemberState.LIVE
     assert list_states(membership, 4) is MemberState.SILENT
@@ -65,7 +65,7 @@
 
 def test_the_list_says_who_leaves_too():
     membership = Membership(SILENCE)
-    membership.hear("agent-1", 1, False, START)
+    membership.note_heartbeat("agent-1", 1, False, START)
     membership.update([make_instance("agent", 1, "linz", "leaving")], START)
     assert list_states(membership, 0) is MemberState.LEAVING
 
@@ -101,16 +101,16 @@
     links = count_links(entries, agents)
     for agent in agents:
         total = sum(number for (name, _), number in links.items() if name == agent.name)
-        assert total >= min(COPIES, len(entries))
+        assert total >= min(MIN_ENTRIES_PER_AGENT, len(entries))
         own = [e for e in entries if e.availability_zone == agent.availability_zone]
-        if len(own) >= COPIES:
-            assert links[agent.name, agent.availability_zone] >= COPIES
+        if len(own) >= MIN_ENTRIES_PER_AGENT:
+            assert links[agent.name, agent.availability_zone] >= MIN_ENTRIES_PER_AGENT
 
 
 @settings(derandomize=True, deadline=None, database=None, max_examples=50)
 @given(zones=ZONES, data=st.data())
 def test_losing_an_entry_moves_no_link_of_other_zones(zones, data):
-    zones = [(entries + 2 * COPIES, agents) for entries, agents in zones]
+    zones = [(entries + 2 * MIN_ENTRIES_PER_AGENT, agents) for entries, agents in zones]
     entries, agents = make_fleet(zones)
     lost = data.draw(st.sampled_from(entries))
     left = [entry for entry in entries if entry is not lost]
@@ -137,7 +137,7 @@
         for entry in entries
         for zone in choose_domains(entry.name, entries, agents)
     )
-    wanted = min(len(entries), COPIES)
+    wanted = min(len(entries), MIN_ENTRIES_PER_AGENT)
     zones_with_agents = {agent.availability_zone for agent in agents}
     if wanted:
         assert candidates == dict.fromkeys(zones_with_agents, wanted)
--- a/packages/mustardquay/tests/test_predictions.py
+++ b/packages/mustardquay/tests/test_predictions.py
@@ -197,7 +197,7 @@
 
 def plan_for(works, seconds, views, price=2.0):
     """Feed a planner a constant demand; return its changes, which take effect."""
-    planner = RolePlanner(RoleSettings(RATES, change_price=price))
+    planner = RolePlanner(RoleSettings(RATES, change_cost=price))
     changes = []
     for second in range(seconds):
         for work in works(second):
--- a/packages/mustardquay/tests/test_revisions.py
+++ b/packages/mustardquay/tests/test_revisions.py
@@ -4,17 +4,17 @@
 
 import pytest
 
-from mustardquay.contracts import Contract
-from mustardquay.encodings import decode, encode
-from mustardquay.errors import ConflictError, DocumentError, ProtocolError
-from mustardquay.logs import (
+from mustardquay.configuration_log import (
     Accepted,
-    Overtaken,
+    HeadMoved,
     build_transaction,
     decode_snapshot,
     encode_snapshot,
     interpret_result,
 )
+from mustardquay.contracts import Contract
+from mustardquay.encodings import decode, encode
+from mustardquay.errors import ConflictError, DocumentError, ProtocolError
 from mustardquay.plans import Action, PlannedChange, Release, Scope
 from mustardquay.revisions import (
     Catalogue,
@@ -59,8 +59,8 @@
     assert decode(Entry, json.loads(json.dumps(encode(entry)))) == entry
     result = apply_entry(BASE, entry)
     assert decode_snapshot(encode_snapshot(result)) == result
-    assert result.find_customer("hash-radio") is None
-    assert result.find_customer("hash-tram").revision == 2
+    assert result.find_contract("hash-radio") is None
+    assert result.find_contract("hash-tram").revision == 2
 
 
 @pytest.mark.parametrize("version", [0, 1, 3])
@@ -130,5 +130,5 @@
     moved = Row(head.table, head.key, {"version": 5}, 5)
     known = Row(change.table, change.key, {"version": 2}, 1)
     assert interpret_result(entry, Committed((1, 1, 1))) == Accepted(2)
-    assert interpret_result(entry, Conflict((moved,))) == Overtaken(5)
+    assert interpret_result(entry, Conflict((moved,))) == HeadMoved(5)
     assert interpret_result(entry, Conflict((moved, known))) == Accepted(2)
