--- a/packages/mustardquay/src/mustardquay/documents.py
+++ b/packages/mustardquay/src/mustardquay/documents.py
@@ -1,7 +1,7 @@
-"""Documents: contracts and planned changes as operators write them.
+"""Documents: contracts and planned changes in the form that operators write.
 
 A document is an INI file (section `contract` with `lateness`, or `change`) or the
-same fields as JSON. Durations are in seconds, instants are ISO 8601 with a zone.
+same fields as JSON. Durations are in seconds, timestamps are ISO 8601 with a zone.
 """
 
 from collections.abc import Iterable
@@ -24,9 +24,9 @@
 
 from .contracts import Contract, Lateness
 from .errors import DocumentError
-from .faults import INSTANT_REMEDY, describe_faults
-from .fields import Duration, Words
+from .fields import Duration, SplitWords
 from .plans import Action, PlannedChange, Scope
+from .validation_errors import TIMESTAMP_REMEDY, describe_errors
 
 __all__ = [
     "ChangeDocument",
@@ -39,9 +39,9 @@
     "describe_contract",
     "hash_key",
     "hash_keys",
-    "read_change",
-    "read_contract",
-    "read_sections",
+    "parse_change",
+    "parse_contract",
+    "parse_sections",
 ]
 
 Model = TypeVar("Model", bound=BaseModel)
@@ -57,40 +57,40 @@
 
 
 def hash_keys(keys: Iterable[str], source: str) -> list[str]:
-    """Return the digests of bearer keys; raises `DocumentError` for bad ones."""
+    """Return the digests of bearer keys; raises `DocumentError` for invalid keys."""
     adapter = TypeAdapter(tuple[Key, ...])
     try:
         return [hash_key(key) for key in adapter.validate_python(tuple(keys))]
     except ValidationError as error:
         raise DocumentError(
-            describe_faults(error, lambda path: f"{source}: keys")
+            describe_errors(error, lambda path: f"{source}: keys")
         ) from None
 
 
 Name = Annotated[str, StringConstraints(pattern=r"^[A-Za-z0-9][A-Za-z0-9._-]{0,62}$")]
 Digest = Annotated[str, StringConstraints(pattern=r"^[0-9a-f]{64}$")]
 Key = Annotated[str, StringConstraints(pattern=r"^[!-~]{8,512}$")]
-Names = Annotated[tuple[Name, ...], Words]
-Texts = Annotated[tuple[Annotated[str, Field(min_length=1)], ...], Words]
+Names = Annotated[tuple[Name, ...], SplitWords]
+Texts = Annotated[tuple[Annotated[str, Field(min_length=1)], ...], SplitWords]
 
 
 def _refuse_number(value: Any) -> Any:
-    """Refuse seconds since 1970, which a mistyped time of day would pass for."""
+    """Reject numbers, as a mistyped time of day would pass for seconds since 1970."""
     if isinstance(value, int | float) or (
         isinstance(value, str) and value.replace(".", "").lstrip("+-").isdigit()
     ):
-        raise ValueError(INSTANT_REMEDY)
+        raise ValueError(TIMESTAMP_REMEDY)
     return value
 
 
 class Document(BaseModel):
-    """Base of the models of documents: no unknown field, never changed."""
+    """Base class of documents: immutable, and without unknown fields."""
 
     model_config = ConfigDict(extra="forbid", frozen=True, hide_input_in_errors=True)
 
 
 class LatenessDocument(Document):
-    """Section `lateness`: how late answers may be, in seconds."""
+    """Section `lateness`: the tolerated latency of answers, in seconds."""
 
     first_token: Duration = Lateness().first_token
     between_tokens: Duration = Lateness().between_tokens
@@ -109,9 +109,9 @@
     """Section `contract`: the agreement with one customer."""
 
     customer: Name
-    keys: Annotated[tuple[Key, ...], Words] = ()
-    """Bearer keys in plain; only their digests are kept."""
-    key_hashes: Annotated[tuple[Digest, ...], Words] = ()
+    keys: Annotated[tuple[Key, ...], SplitWords] = ()
+    """Bearer keys in plain text, of which only digests are stored."""
+    key_hashes: Annotated[tuple[Digest, ...], SplitWords] = ()
     share: Annotated[float, Field(gt=0, le=1, allow_inf_nan=False)]
     priority: Annotated[int, Field(ge=0, le=9)] = 0
     models: Texts = ()
@@ -119,11 +119,11 @@
     services: Names = ()
     lateness: LatenessDocument = Field(default_factory=LatenessDocument)
     revision: Annotated[int, Field(ge=0)] = 0
-    """The revision that this document amends; 0 makes a new contract."""
+    """The revision that this document amends; 0 creates a contract."""
 
     @classmethod
     def from_contract(cls, contract: Contract) -> "ContractDocument":
-        """Return the document of a contract; its keys only as digests."""
+        """Return the document of a contract, with its keys as digests only."""
         return cls(
             customer=contract.customer,
             key_hashes=contract.key_hashes,
@@ -157,26 +157,26 @@
 
 
 class ChangeDocument(Document):
-    """Section `change`: a planned change to a part of the fleet."""
+    """Section `change`: a planned change to part of the fleet."""
 
     name: Name
     action: Action
     scope: Scope = Scope.UPSTREAM
     target: Annotated[str, Field(min_length=1)]
     starts_at: Annotated[AwareDatetime | None, BeforeValidator(_refuse_number)] = None
-    """None is at once."""
+    """None means at once."""
     accept_overload: bool = False
     revision: Annotated[int, Field(ge=0)] = 0
-    """The revision that this document amends; 0 makes a new planned change."""
+    """The revision that this document amends; 0 creates a planned change."""
 
     def to_change(self) -> PlannedChange:
-        """Return the data class, with its instant in UTC."""
+        """Return the data class, with its timestamp in UTC."""
         starts_at = self.starts_at and self.starts_at.astimezone(UTC)
         return PlannedChange(**(dict(self) | {"starts_at": starts_at}))
 
 
 def describe_change(change: PlannedChange) -> dict[str, Any]:
-    """Return a planned change's fields for JSON, its instant as ISO 8601."""
+    """Return a planned change's fields for JSON, its timestamp as ISO 8601."""
     return {
         "name": change.name,
         "action": change.action.value,
@@ -208,37 +208,37 @@
     }
 
 
-def read_contract(text: str, source: str) -> ContractDocument:
-    """Return the contract that an INI text holds; `source` names it in errors.
+def parse_contract(text: str, source: str) -> ContractDocument:
+    """Parse a contract from INI text; errors name `source`.
 
     Raises `DocumentError`, which names source, section, field and remedy.
     """
-    sections = read_sections(text, source, "contract", "lateness")
+    sections = parse_sections(text, source, "contract", "lateness")
     fields = sections["contract"]
     if "lateness" in sections:
         fields["lateness"] = sections["lateness"]
     return check_document(ContractDocument, fields, source, "contract")
 
 
-def read_change(text: str, source: str) -> ChangeDocument:
-    """Return the planned change that an INI text holds.
+def parse_change(text: str, source: str) -> ChangeDocument:
+    """Parse a planned change from INI text.
 
     Raises `DocumentError`, which names source, section, field and remedy.
     """
-    fields = read_sections(text, source, "change")["change"]
+    fields = parse_sections(text, source, "change")["change"]
     return check_document(ChangeDocument, fields, source, "change")
 
 
-def read_sections(
+def parse_sections(
     text: str, source: str, needed: str, *others: str
 ) -> dict[str, dict[str, Any]]:
-    """Return the sections of an INI text, with the needed one and no unknown."""
+    """Parse INI text; section `needed` is required, and `others` are allowed."""
     parser = ConfigParser(interpolation=None)
     try:
         parser.read_string(text, source)
     except ConfigParserError as error:
         raise DocumentError(
-            f"{source}: is not an INI file; mend it: {error.message}"
+            f"{source}: is not a valid INI file; correct it: {error.message}"
         ) from None
     known = (needed, *others)
     for name in parser.sections():
@@ -255,9 +255,9 @@
 def check_document(
     model: type[Model], fields: Any, source: str, section: str = ""
 ) -> Model:
-    """Return the document that `fields` hold.
+    """Validate `fields` and return the document.
 
-    `section` names the top section when the fields came from an INI file. Raises
+    `section` names the top section if the fields come from an INI file. Raises
     `DocumentError`, which names source, field and remedy.
     """
 
@@ -272,4 +272,4 @@
     try:
         return model.model_validate(fields)
     except ValidationError as error:
-        raise DocumentError(describe_faults(error, locate)) from None
+        raise DocumentError(describe_errors(error, locate)) from None
