--- a/packages/mustardquay/src/mustardquay/generation_limits.py
+++ b/packages/mustardquay/src/mustardquay/generation_limits.py
@@ -1,9 +1,9 @@
-"""Generation limits: which generations are refused, and when they should come back.
+"""Generation limits: which generations are refused, and after what delay to retry them.
 
-Answers bursts that ask for more than the engines can read. A long queue would make
-all answers late. So no more is read in turn than can still be answered in time. What is
-late anyway is read behind it, while it takes no places from others; the rest is told at
-once when to come back.
+Handles bursts that exceed the prefill capacity of the engines, where a long queue would
+make all answers late. Prefill is queued in order only as long as its answer can still
+be in time. Requests that are late anyway are processed with a lower priority while
+engines have capacity left; all others are refused at once with a retry delay.
 """
 
 from datetime import timedelta
@@ -22,108 +22,112 @@
 ]
 
 TARGET_SHARE = 0.85
-"""Part of a route's target that waiting for rate limits and the first event may fill;
-the rest is for the reading of a usual prompt and the way to the caller."""
-LEAST_TURN_SHARE = 0.3
-"""Part of the target that is always accepted as wait for rate limits, also where the
-first event leaves less."""
+"""Fraction of a route's target available for rate limit waits and the first event; the
+rest is for the prefill of an average prompt and the network to the caller."""
+MIN_LIMIT_WAIT_SHARE = 0.3
+"""Fraction of the target that a rate limit wait may always take, also where the first
+event leaves less."""
 CALLER_SHARE = 0.05
-"""Part of the target for the ways between the caller and this process, which are not in
-the times that it measures."""
-LIGHT_READ_SHARE = 0.06
-"""Part of the target: reading that delays others by less than their answers vary."""
-LIGHT_SHARE = 0.1
-"""Part of its time that a prompt of such a reading may wait: the tokens after it take
-most of the rest."""
+"""Fraction of the target for the network between the caller and this process, which is
+not included in the times that it measures."""
+LIGHT_PREFILL_SHARE = 0.06
+"""Fraction of the target up to which a prefill is light: it delays others by less than
+their usual variation."""
+LIGHT_WAIT_SHARE = 0.1
+"""Fraction of its time that a prompt with a light prefill may wait: decoding takes most
+of the rest."""
 FULL_OCCUPANCY = 1.6
-"""Part of an engine's places up to which short answers are sent there. Those beyond
-its places wait, before long answers of a lower rank; some 40 are through in 0.2 s."""
+"""Occupancy of an engine's slots up to which short answers are sent there. Requests
+beyond its slots queue there, ahead of long answers of a lower rank; about 40 are
+finished in 0.2 s."""
 LONG_OCCUPANCY = 1.2
-"""The same for long answers, which hold their places for seconds. When few engines are
-left to generate, short answers would wait for one of them until their deadline."""
+"""The same for long answers, which occupy slots for seconds. With few decode engines
+left, short answers would queue for a slot until their deadline."""
 LONG_ANSWER = 0.9
-"""Seconds of its stream, at the longest that it may become, from which an answer is
-long: it holds its place for longer than a caller waits for a short one."""
-FRESH_SHARE = 0.95
-"""Part of the route's timeout below which the time left shows a caller that has been
-here before, or that waits for less than others. Callers that come anew have it all."""
+"""Seconds of its stream, at the maximum length, from which an answer is long: it
+occupies its slot for longer than a caller waits for a short one."""
+FIRST_ATTEMPT_SHARE = 0.95
+"""Fraction of the route's timeout below which the time left indicates a retry, or a
+caller with a shorter timeout than others. First attempts have all of it."""
 LATE_RANK = 5
-"""Rank from which generations wait whose answers can't be in time, ordered by the rank
-of their route; engines know 0 to 9."""
+"""Rank from which generations queue whose answers can't be in time, in the order of
+their routes' ranks; engines support 0 to 9."""
 LATE_OCCUPANCY = 0.5
-"""Part of the places of an engine that reads up to which late prompts are sent there.
-Those that hold places are read behind others, but no other gets their places."""
-LATE_GENERATING = 1.0
-"""The same of an engine that generates, which knows no rank among its streams."""
+"""Occupancy of a prefill engine's slots up to which late prompts are sent there. Those
+that hold a slot are processed after others, but keep the slot."""
+LATE_DECODER_OCCUPANCY = 1.0
+"""The same for a decode engine, which doesn't order its streams by rank."""
 LATE_WAIT_SHARE = 0.5
-"""Part of its time that a request may wait whose answer is late anyway; the other half
-is for reading and generating."""
-EARLIEST_RETURN = timedelta(milliseconds=250)
-"""Time in which the queue that was in the way is read, twice over."""
-RETURN_SPREAD = timedelta(milliseconds=350)
-"""Returns are drawn over this time, so that those refused together don't meet again.
-Callers follow a hint of at most a third of the time that they have left."""
+"""Fraction of its time that a request which is late anyway may wait; the other half is
+for prefill and decoding."""
+MIN_RETRY_DELAY = timedelta(milliseconds=250)
+"""Minimum retry delay: twice the time to process the queue that caused the refusal."""
+RETRY_JITTER = timedelta(milliseconds=350)
+"""Jitter of the retry delay, so that requests refused together aren't retried together.
+Callers follow a delay of at most a third of the time that they have left."""
 
 
 def admits_generation(
-    route: Route, placement: Placement, time_left: timedelta, rest: timedelta
+    route: Route, placement: Placement, time_left: timedelta, margin: timedelta
 ) -> bool:
     """Return whether the answer is expected in time.
 
-    `rest` is the time that answers take beside what is expected of them, as learned.
+    `margin` is the learned difference between expected and measured latency.
 
-    What counts is the wait, not the reading: large prompts must not be refused more
-    often than small ones. Only what is read in a moment waits longer: to refuse it
-    makes room for nobody.
+    The bound applies to the wait and not to the prefill: large prompts must not be
+    refused more often than small ones. Light prefills may wait longer: refusing them
+    would free almost no capacity.
     """
     if _is_full(placement) or not admits_rate_limit_wait(route, placement):
         return False
     target = route.latency_target.total_seconds()
-    taken = placement.usual_seconds + placement.first_seconds + rest.total_seconds()
-    bound = (1 - CALLER_SHARE) * target - taken
-    if placement.prefill_seconds <= LIGHT_READ_SHARE * target:
-        bound = max(bound, LIGHT_SHARE * time_left.total_seconds())
+    reserved = (
+        placement.usual_seconds + placement.first_seconds + margin.total_seconds()
+    )
+    bound = (1 - CALLER_SHARE) * target - reserved
+    if placement.prefill_seconds <= LIGHT_PREFILL_SHARE * target:
+        bound = max(bound, LIGHT_WAIT_SHARE * time_left.total_seconds())
     return placement.delay_seconds <= bound
 
 
 def admits_rate_limit_wait(route: Route, placement: Placement) -> bool:
-    """Return whether rate limits of engines let a generation be sent soon enough.
+    """Return whether rate limits allow a generation to be sent soon enough.
 
-    The bound is the same for all: who may wait longer would take each turn before it
-    is free, and nobody else would be served.
+    The bound is the same for all requests: those with a longer one would reserve all of
+    the capacity in advance, and no others would be served.
     """
-    return placement.limit_wait_seconds <= _bound_turn(route, placement)
+    return placement.limit_wait_seconds <= _bound_limit_wait(route, placement)
 
 
-def _bound_turn(route: Route, placement: Placement) -> float:
-    """Return the seconds for which rate limits may hold a generation up."""
+def _bound_limit_wait(route: Route, placement: Placement) -> float:
+    """Return the longest delay by rate limits, in seconds."""
     target = route.latency_target.total_seconds()
     return max(
-        TARGET_SHARE * target - placement.first_seconds, LEAST_TURN_SHARE * target
+        TARGET_SHARE * target - placement.first_seconds, MIN_LIMIT_WAIT_SHARE * target
     )
 
 
 def admits_late(route: Route, placement: Placement, time_left: timedelta) -> bool:
     """Return whether an answer that can't be in time is expected before the deadline.
 
-    Engines read such prompts behind all others, so that they take nobody's place.
+    Engines process such prompts after all others, so that they don't delay these.
     """
     if _is_full(placement) or not admits_rate_limit_wait(route, placement):
         return False
     if placement.reader_occupancy > LATE_OCCUPANCY:
         return False
-    if placement.occupancy > LATE_GENERATING:
+    if placement.occupancy > LATE_DECODER_OCCUPANCY:
         return False
     return placement.wait_seconds <= LATE_WAIT_SHARE * time_left.total_seconds()
 
 
 def is_retry(route: Route, time_allowed: timedelta) -> bool:
-    """Return whether a caller has been here before, by the time that it has left."""
-    return time_allowed < FRESH_SHARE * route.timeout
+    """Return whether a request was refused before, judging by the time that is left."""
+    return time_allowed < FIRST_ATTEMPT_SHARE * route.timeout
 
 
 def rank_generation(route: Route, is_late: bool) -> int:
-    """Return the rank by which engines order a generation; 0 goes first.
+    """Return the rank by which engines order a generation; 0 is processed first.
 
     >>> from mustardquay.routing_tables import Repeat
     >>> late = Route("r", "h", "/", Repeat.STREAM, (), timedelta(1), timedelta(1), 2)
@@ -142,9 +146,9 @@
 def draw_retry_delay(
     placement: Placement | None, time_left: timedelta, random: Random
 ) -> timedelta:
-    """Return when a refused caller should come back."""
+    """Return the time after which a refused request should be retried."""
     wait = timedelta()
     if placement is not None:
         wait = timedelta(seconds=placement.delay_seconds)
-    earliest = max(EARLIEST_RETURN, wait / 2)
-    return min(earliest + RETURN_SPREAD * random.random(), max(time_left / 3, wait))
+    earliest = max(MIN_RETRY_DELAY, wait / 2)
+    return min(earliest + RETRY_JITTER * random.random(), max(time_left / 3, wait))
--- a/packages/mustardquay/src/mustardquay/latency_margins.py
+++ b/packages/mustardquay/src/mustardquay/latency_margins.py
@@ -1,9 +1,9 @@
-"""Latency margins: how much of a target is left for waiting, learned from answers.
+"""Latency margins: the learned difference between expected and measured latency.
 
-Answers the load of a burst in which several processes send to the same engines: what
-each knows of their queues is older than the queues themselves, so that prompts wait
-for longer than was expected. How far answers were off says how much of the target must
-be kept free, so that what is admitted is answered in time.
+In a burst, several processes send to the same engines, and what each of them knows
+about the queues is older than the queues themselves, so that prompts wait longer than
+expected. The observed errors determine how much of the latency target must be reserved
+so that admitted requests are answered in time.
 """
 
 from dataclasses import dataclass, field
@@ -13,61 +13,61 @@
 
 __all__ = ["LatencyMargins"]
 
-IN_TIME_SHARE = 0.75
-"""Part of the answers that are to be in time. More would leave engines idle whenever
-one prompt in ten is delayed by something else."""
+TARGET_QUANTILE = 0.75
+"""Fraction of the answers that should be in time. A higher one would leave engines idle
+whenever one prompt in ten is delayed by something else."""
 STEP_SHARE = 0.1
-"""Part of the target by which the estimate moves at most with one answer."""
-START_SHARE = 0.15
-"""Part of the target that is kept free before the first answers."""
-MOST_SHARE = 0.95
-"""Most of the target that is kept free."""
-MEMORY = timedelta(seconds=1)
-"""Half-life of what is kept free beyond the start: after a burst in which nobody could
-be in time, callers are tried again."""
+"""Largest change of the margin per answer, as a fraction of the target."""
+INITIAL_SHARE = 0.15
+"""Initial margin, as a fraction of the target."""
+MAX_SHARE = 0.95
+"""Largest margin, as a fraction of the target."""
+MARGIN_HALF_LIFE = timedelta(seconds=1)
+"""Half-life of the margin above its initial value: after a burst in which no answer
+could be in time, requests are admitted again."""
 
 
 @dataclass(slots=True)
-class _Rest:
+class _Margin:
     seconds: float
     at: timedelta
 
 
 @dataclass(slots=True)
 class LatencyMargins:
-    """By route: time that answers took beside what was expected of them.
+    """Margin between expected and measured latency, by route.
 
-    A quantile, followed by steps as each answer comes (stochastic approximation;
-    Robbins and Monro, 1951): up by a large step after one that took longer, down by a
-    small one after each other, so that a burst shows within a few answers.
+    A quantile, tracked by stochastic approximation (Robbins and Monro, 1951): a large
+    step up after an answer that exceeded the margin, a small step down after any other,
+    so that the margin follows a burst within a few answers.
     """
 
-    _rests: dict[str, _Rest] = field(default_factory=dict)
+    _margins: dict[str, _Margin] = field(default_factory=dict)
 
     def find_margin(self, route: Route, now: timedelta) -> timedelta:
-        """Return the time to keep free beside what is expected."""
+        """Return the time to reserve in addition to the expected latency."""
         return timedelta(seconds=self._get(route, now))
 
     def note(
         self, route: Route, expected: timedelta, took: timedelta, now: timedelta
     ) -> None:
-        """Take in an answer; `expected` is what it was to take."""
+        """Record an answer that was expected to take `expected`."""
         target = route.latency_target.total_seconds()
-        rest = self._get(route, now)
+        margin = self._get(route, now)
         step = STEP_SHARE * target
-        if (took - expected).total_seconds() > rest:
-            rest += step * IN_TIME_SHARE
+        if (took - expected).total_seconds() > margin:
+            margin += step * TARGET_QUANTILE
         else:
-            rest -= step * (1 - IN_TIME_SHARE)
-        rest = min(max(rest, 0.0), MOST_SHARE * target)
-        self._rests[route.name] = _Rest(rest, now)
+            margin -= step * (1 - TARGET_QUANTILE)
+        margin = min(max(margin, 0.0), MAX_SHARE * target)
+        self._margins[route.name] = _Margin(margin, now)
 
     def _get(self, route: Route, now: timedelta) -> float:
-        start = START_SHARE * route.latency_target.total_seconds()
-        known = self._rests.get(route.name)
+        initial = INITIAL_SHARE * route.latency_target.total_seconds()
+        known = self._margins.get(route.name)
         if known is None:
-            return start
-        if known.seconds <= start:
+            return initial
+        if known.seconds <= initial:
             return known.seconds
-        kept = 0.5 ** ((now - known.at) / MEMORY)
-        return start + kept * (known.seconds - start)
+        kept = 0.5 ** ((now - known.at) / MARGIN_HALF_LIFE)
+        return initial + kept * (known.seconds - initial)
--- a/packages/mustardquay/src/mustardquay/peer_availability.py
+++ b/packages/mustardquay/src/mustardquay/peer_availability.py
@@ -17,100 +17,101 @@
     "may_stop_early",
 ]
 
-COMEBACK_TIME = timedelta(seconds=2)
-"""Usual time from the end of a gateway to the moment when its successor is ready."""
-MEMORY = timedelta(seconds=10)
-"""How long a gateway that is silent counts as one that the balancer knows."""
-LEAST_COMEBACK = timedelta(milliseconds=500)
-"""Time in which one may be back that has been away for longer than usual."""
-BALANCER_PACE = timedelta(seconds=1)
-"""Time between two questions of the balancer whether a gateway is ready: until it has
-asked, it sends nobody to one that has just become so."""
+RESTART_TIME = timedelta(seconds=2)
+"""Usual time from the end of a gateway to the readiness of its successor."""
+MEMBER_LIFETIME = timedelta(seconds=10)
+"""How long a silent gateway still counts as registered with the load balancer."""
+MIN_RESTART_TIME = timedelta(milliseconds=500)
+"""Expected time to readiness of a gateway that has been unavailable for longer than
+usual."""
+PROBE_INTERVAL = timedelta(seconds=1)
+"""Interval between two readiness probes of the load balancer: a gateway that has become
+ready gets no callers before the next probe."""
 
 
 class MemberState(StrEnum):
-    """Whether callers get an answer from a gateway."""
+    """Whether a gateway serves callers."""
 
     READY = "ready"
     LEAVING = "leaving"
-    """It stops, and takes what ends in time."""
+    """It is stopping, and accepts requests that end in time."""
     AWAY = "away"
-    """It starts, has ended or is silent."""
+    """It is starting, has ended or is silent."""
 
 
 @dataclass(frozen=True, slots=True)
 class Member:
-    """Another gateway of the fleet, as it was last heard."""
+    """Another gateway of the fleet, by its last digest."""
 
     name: str
     availability_zone: str
     state: MemberState
     changes_at: timedelta
-    """When it ends if it is leaving, and when it is back if it is away."""
+    """When a leaving gateway ends, or when one that is away becomes ready."""
 
 
 @dataclass(frozen=True, slots=True)
-class _Heard:
+class _ReceivedDigest:
     digest: PeerDigest
     at: timedelta
     ready_since: timedelta
-    """When it was first heard to be ready without a break."""
+    """Start of the current uninterrupted period of readiness."""
 
 
 @dataclass(slots=True)
 class PeerAvailability:
-    """The other gateways that were heard lately."""
+    """The other gateways with a recent digest."""
 
-    _heard: dict[str, _Heard] = field(default_factory=dict)
+    _received: dict[str, _ReceivedDigest] = field(default_factory=dict)
 
     def apply_digest(self, digest: PeerDigest, now: timedelta) -> None:
-        """Take in what a gateway says; an older word that comes late is dropped."""
-        known = self._heard.get(digest.gateway)
+        """Record a digest; one that arrives out of order is dropped."""
+        known = self._received.get(digest.gateway)
         if known is not None and digest.order <= known.digest.order:
             return
         ready_since = now
-        if known is not None and _goes_on(known.digest, digest):
+        if known is not None and _was_ready(known.digest, digest):
             ready_since = known.ready_since
-        self._heard[digest.gateway] = _Heard(digest, now, ready_since)
+        self._received[digest.gateway] = _ReceivedDigest(digest, now, ready_since)
 
     def list_members(self, now: timedelta) -> list[Member]:
-        """Return the gateways that the balancer may know."""
-        self._heard = {
-            name: heard
-            for name, heard in self._heard.items()
-            if now - heard.at <= MEMORY
+        """Return the gateways that may be registered with the load balancer."""
+        self._received = {
+            name: received
+            for name, received in self._received.items()
+            if now - received.at <= MEMBER_LIFETIME
         }
-        return [_make_member(heard, now) for heard in self._heard.values()]
+        return [_make_member(received, now) for received in self._received.values()]
 
 
-def _goes_on(before: PeerDigest, digest: PeerDigest) -> bool:
-    """Return whether one process was ready before and may still be."""
+def _was_ready(before: PeerDigest, digest: PeerDigest) -> bool:
+    """Return whether the same process was ready in the previous digest."""
     return before.incarnation == digest.incarnation and before.is_ready
 
 
-def _make_member(heard: _Heard, now: timedelta) -> Member:
-    digest = heard.digest
+def _make_member(received: _ReceivedDigest, now: timedelta) -> Member:
+    digest = received.digest
     name, availability_zone = digest.gateway, digest.availability_zone
-    if now - heard.at > DIGEST_LIFETIME:
-        back_at = max(heard.at + COMEBACK_TIME, now + LEAST_COMEBACK)
+    if now - received.at > DIGEST_LIFETIME:
+        back_at = max(received.at + RESTART_TIME, now + MIN_RESTART_TIME)
         return Member(name, availability_zone, MemberState.AWAY, back_at)
     if digest.ends_in is not None:
-        ends_at = heard.at + digest.ends_in
+        ends_at = received.at + digest.ends_in
         return Member(name, availability_zone, MemberState.LEAVING, ends_at)
-    asked_at = heard.ready_since + BALANCER_PACE
-    if digest.is_ready and now >= asked_at:
-        return Member(name, availability_zone, MemberState.READY, asked_at)
-    back_at = max(asked_at, now + LEAST_COMEBACK)
+    probed_at = received.ready_since + PROBE_INTERVAL
+    if digest.is_ready and now >= probed_at:
+        return Member(name, availability_zone, MemberState.READY, probed_at)
+    back_at = max(probed_at, now + MIN_RESTART_TIME)
     return Member(name, availability_zone, MemberState.AWAY, back_at)
 
 
 def is_still_routed(availability_zone: str, members: Collection[Member]) -> bool:
-    """Return whether the balancer sends callers to a gateway that isn't ready.
+    """Return whether the load balancer sends callers to a gateway that isn't ready.
 
-    It does when fewer than half of the gateways of an availability zone are ready; one
-    without any is served by the others. Guards against a fleet that is stopped in one
-    go: callers were sent to gateways that had closed their doors long before they
-    ended, and got no connection.
+    It does when fewer than half of the gateways of an availability zone are ready; a
+    zone without any ready gateway is served by the other zones. Guards against a fleet
+    that is stopped all at once: callers were sent to gateways that had stopped
+    listening long before they ended, and got no connection.
     """
     own = [each for each in members if each.availability_zone == availability_zone]
     ready = _count_ready(own)
@@ -130,11 +131,12 @@
 
 
 def may_stop_early(name: str, members: Iterable[Member]) -> bool:
-    """Return whether a gateway that is needed may end early, so as to be back early.
+    """Return whether a gateway that is still routed may end early, to be ready early.
 
-    One at a time, in the order of their names, on which all agree whatever they have
-    heard: those that stop together would else be away together. One that knows no other
-    is away as long either way.
+    One at a time, in the order of their names, which is the same on all gateways
+    whatever digests they received: otherwise gateways that stop together would be
+    unavailable together. A gateway without peers is unavailable for the same time
+    either way.
     """
     return all(
         each.state is MemberState.READY
@@ -146,9 +148,9 @@
 def find_retry_delay(
     members: Collection[Member], own_end: timedelta, longest: timedelta, now: timedelta
 ) -> timedelta:
-    """Return the time after which a refused caller may find a gateway that takes it.
+    """Return the time after which a refused caller may find a gateway that serves it.
 
-    A gateway that leaves may still take a request that ends within `longest`.
+    A leaving gateway may still serve a request that ends within `longest`.
     """
     if any(each.state is MemberState.READY for each in members):
         return timedelta()
@@ -157,5 +159,5 @@
         return timedelta()
     ends = [own_end, *(each.changes_at for each in leaving)]
     backs = [each.changes_at for each in members if each.state is MemberState.AWAY]
-    back_at = min([*(end + COMEBACK_TIME for end in ends), *backs])
+    back_at = min([*(end + RESTART_TIME for end in ends), *backs])
     return max(back_at - now, timedelta())
--- a/packages/mustardquay/src/mustardquay/retained_prefills.py
+++ b/packages/mustardquay/src/mustardquay/retained_prefills.py
@@ -1,8 +1,8 @@
-"""Retained prefills: whether a prompt that was read can still be generated from.
+"""Retained prefills: whether a finished prefill can still be used for decoding.
 
-Answers engines that generate and are lost, refuse or fall silent after another engine
-has read the prompt. While that one holds it, any engine can generate from it by a copy,
-which spares the readers' queue a second reading of every request that was under way.
+Handles decode engines that are lost, refuse a request or stop responding after another
+engine has prefilled its prompt. While that engine retains the result, any other engine
+can decode after copying it, which avoids a second prefill of every request in progress.
 """
 
 from collections.abc import Collection, Sequence
@@ -17,16 +17,16 @@
 
 
 class PrefillLoss(StrEnum):
-    """Why nothing can be generated from what an engine has read."""
+    """Why a finished prefill can't be used any more."""
 
     READER_GONE = "reader_gone"
-    """The engine that read is not listed any more, or leaves."""
+    """The engine that did the prefill is no longer listed, or is draining."""
     READER_LOST = "reader_lost"
-    """It has been out of reach for long."""
+    """It has been unreachable for longer than `LOST_TIME`."""
     DISPLACED = "displaced"
-    """It has given up the prompt for others."""
+    """It has evicted the prompt from its cache."""
     NO_GENERATOR = "no_generator"
-    """No other engine generates."""
+    """No other decode engine is usable."""
 
 
 def find_prefill_loss(
@@ -38,10 +38,10 @@
     now: timedelta,
     avoid: Collection[str] = (),
 ) -> PrefillLoss | None:
-    """Return why none of `engines` can generate from a reading; None if one can.
+    """Return why none of `engines` can use a prefill, or None if one can.
 
-    With `is_copied`, the prompt is copied from the cache of its reader, which holds it
-    like any other; a handle keeps it there by itself.
+    With `is_copied`, the prompt is copied from the prefix cache of its reader, where it
+    may be evicted like any other; a handle pins it there.
     """
     if all(engine.id != reader.id for engine in engines):
         return PrefillLoss.READER_GONE
--- a/packages/mustardquay/src/mustardquay/stall_timeouts.py
+++ b/packages/mustardquay/src/mustardquay/stall_timeouts.py
@@ -1,8 +1,8 @@
-"""Stall timeouts: how long an engine may be silent before its work goes on elsewhere.
+"""Stall timeouts: how long an engine may be silent before its work is retried.
 
-Answers engines that are lost without closing their connections. Their callers give up
-after two seconds without an event. Only what may be resumed or has not been sent goes
-on elsewhere: an engine that is merely slow may still answer the rest.
+Detects engines that are lost without closing their connections; callers time out after
+two seconds without an event. Only requests that may be resumed or have not been sent
+are retried elsewhere: a slow engine may still answer the others.
 """
 
 from datetime import timedelta
@@ -12,41 +12,43 @@
 
 __all__ = ["find_first_event_timeout", "find_prefill_timeout", "find_idle_timeout"]
 
-PAUSES = 3
-"""Pauses of the longest kind that is still on time, in one. Events come some 50 ms
-apart, and 100 ms with 50 streams at an engine."""
-LEAST_SILENCE = timedelta(milliseconds=450)
-LEAST_READING_SLACK = timedelta(milliseconds=400)
-"""How much longer than expected a prompt may take to be read, at least. Of 3,000
-readings in a day with bursts one in a hundred took 250 ms longer."""
+IDLE_PAUSES = 3
+"""Number of the longest pauses allowed by a route after which a stream counts as
+stalled. Events come about 50 ms apart, and 100 ms with 50 streams on an engine."""
+MIN_IDLE_TIMEOUT = timedelta(milliseconds=450)
+MIN_PREFILL_SLACK = timedelta(milliseconds=400)
+"""Minimum time by which a prefill may exceed its estimate. Of 3,000 prefills in a day
+with bursts, one in a hundred took 250 ms longer."""
 
 
 def find_idle_timeout(route: Route) -> timedelta | None:
-    """Return the longest time without an event of a stream; None for no limit."""
+    """Return the longest time without an event of a stream; None for no timeout."""
     if not route.resumable:
         return None
     pause = route.longest_pause or timedelta()
-    return max(pause * PAUSES, LEAST_SILENCE)
+    return max(pause * IDLE_PAUSES, MIN_IDLE_TIMEOUT)
 
 
 def find_prefill_timeout(route: Route, placement: Placement) -> timedelta:
-    """Return how long an engine may take to read a prompt.
+    """Return how long an engine may take to prefill a prompt.
 
-    From all that it has to read, since more urgent prompts go before this one also
-    when they come later. Guards against work that is taken from an engine that lives:
-    with the wait by rank alone, 24 to 100 readings of a day were cut for nothing and
-    began again at the end of another queue.
+    Based on all of its outstanding prefill, since more urgent prompts precede this one
+    even if they arrive later. Guards against cancelling work on a healthy engine: with
+    the queueing time by rank alone, 24 to 100 prefills a day were cancelled needlessly
+    and started again at the end of another queue.
     """
     work = max(placement.work_seconds, placement.wait_seconds)
     expected = work + placement.prefill_seconds
-    slack = max(LEAST_READING_SLACK, route.latency_target)
+    slack = max(MIN_PREFILL_SLACK, route.latency_target)
     return timedelta(seconds=2 * expected) + slack
 
 
 def find_first_event_timeout(route: Route, placement: Placement) -> timedelta | None:
-    """Return how long an engine that also reads may take to its first event."""
-    silence = find_idle_timeout(route)
-    if silence is None:
+    """Return how long an engine that also prefills may take to its first event."""
+    idle_timeout = find_idle_timeout(route)
+    if idle_timeout is None:
         return None
-    reading = find_prefill_timeout(route, placement)
-    return max(silence, reading + timedelta(seconds=placement.first_seconds))
+    prefill_timeout = find_prefill_timeout(route, placement)
+    return max(
+        idle_timeout, prefill_timeout + timedelta(seconds=placement.first_seconds)
+    )
--- a/packages/mustardquay/tests/test_generation_limits.py
+++ b/packages/mustardquay/tests/test_generation_limits.py
@@ -3,7 +3,7 @@
 from random import Random
 
 from mustardquay.generation_limits import (
-    EARLIEST_RETURN,
+    MIN_RETRY_DELAY,
     admits_generation,
     admits_late,
     admits_rate_limit_wait,
@@ -19,7 +19,7 @@
 ENGINE = UpstreamRecord("e", "llm", "10.0.0.1:80", "a", 64, False, Stage.DECODE)
 
 
-REST = timedelta(milliseconds=30)
+MARGIN = timedelta(milliseconds=30)
 """Time that answers take beside what was expected."""
 VERDICT, DRAFT = 0.3, 4.4
 """Seconds of their streams."""
@@ -41,7 +41,7 @@
 
 
 def admits(placement, time_left=ROUTE.timeout):
-    return admits_generation(ROUTE, placement, time_left, REST)
+    return admits_generation(ROUTE, placement, time_left, MARGIN)
 
 
 def test_callers_get_answers_in_time_while_more_is_asked_than_can_be_read():
@@ -75,7 +75,7 @@
     random = Random(5)
     left = timedelta(seconds=1.9)
     returns = [draw_retry_delay(make_placement(0.2), left, random) for _ in range(200)]
-    assert min(returns) >= EARLIEST_RETURN
+    assert min(returns) >= MIN_RETRY_DELAY
     assert max(returns) <= left / 3
     assert max(returns) - min(returns) > timedelta(milliseconds=300)
 
--- a/packages/mustardquay/tests/test_peer_availability.py
+++ b/packages/mustardquay/tests/test_peer_availability.py
@@ -3,10 +3,10 @@
 from datetime import timedelta
 
 from mustardquay.peer_availability import (
-    BALANCER_PACE,
-    COMEBACK_TIME,
-    LEAST_COMEBACK,
-    MEMORY,
+    MEMBER_LIFETIME,
+    MIN_RESTART_TIME,
+    PROBE_INTERVAL,
+    RESTART_TIME,
     Member,
     MemberState,
     PeerAvailability,
@@ -31,18 +31,18 @@
 def test_a_gateway_is_ready_leaving_or_away():
     book = PeerAvailability()
     book.apply_digest(digest(1), SECOND)
-    asked_at = SECOND + BALANCER_PACE
-    assert book.list_members(SECOND) == [Member("g2", "a", AWAY, asked_at)]
-    book.apply_digest(digest(2), asked_at)
-    assert book.list_members(asked_at) == [Member("g2", "a", READY, asked_at)]
-    book.apply_digest(digest(3, is_ready=False, ends_in=3 * SECOND), asked_at)
-    ends_at = asked_at + 3 * SECOND
-    assert book.list_members(asked_at) == [Member("g2", "a", LEAVING, ends_at)]
-    silent = asked_at + 1.5 * DIGEST_LIFETIME
-    back_at = asked_at + COMEBACK_TIME
+    probed_at = SECOND + PROBE_INTERVAL
+    assert book.list_members(SECOND) == [Member("g2", "a", AWAY, probed_at)]
+    book.apply_digest(digest(2), probed_at)
+    assert book.list_members(probed_at) == [Member("g2", "a", READY, probed_at)]
+    book.apply_digest(digest(3, is_ready=False, ends_in=3 * SECOND), probed_at)
+    ends_at = probed_at + 3 * SECOND
+    assert book.list_members(probed_at) == [Member("g2", "a", LEAVING, ends_at)]
+    silent = probed_at + 1.5 * DIGEST_LIFETIME
+    back_at = probed_at + RESTART_TIME
     assert book.list_members(silent) == [Member("g2", "a", AWAY, back_at)]
-    late = asked_at + MEMORY
-    assert book.list_members(late)[0].changes_at == late + LEAST_COMEBACK
+    late = probed_at + MEMBER_LIFETIME
+    assert book.list_members(late)[0].changes_at == late + MIN_RESTART_TIME
     assert book.list_members(late + SECOND) == []
 
 
@@ -90,7 +90,7 @@
     assert find_retry_delay([member("g2")], end, SECOND, now) == timedelta()
     leaving = [member("g2", LEAVING, 16)]
     assert find_retry_delay(leaving, end, 5 * SECOND, now) == timedelta()
-    assert find_retry_delay(leaving, end, 9 * SECOND, now) == 2 * SECOND + COMEBACK_TIME
+    assert find_retry_delay(leaving, end, 9 * SECOND, now) == 2 * SECOND + RESTART_TIME
     away = [member("g2", AWAY, 11)]
     assert find_retry_delay(away, end, SECOND, now) == SECOND
-    assert find_retry_delay([], end, SECOND, now) == 2 * SECOND + COMEBACK_TIME
+    assert find_retry_delay([], end, SECOND, now) == 2 * SECOND + RESTART_TIME
--- a/packages/mustardquay/tests/test_stage_plans.py
+++ b/packages/mustardquay/tests/test_stage_plans.py
@@ -1,6 +1,6 @@
 from datetime import timedelta
 
-from mustardquay.stage_plans import DECODER_PATIENCE, StagePlanner, count_decoders
+from mustardquay.stage_plans import DECODER_DELAY, StagePlanner, count_decoders
 from mustardquay.upstream_lists import Stage, UpstreamRecord
 
 NOW = timedelta(seconds=30)
@@ -49,11 +49,11 @@
     assert plan(planner, make_engines(4, 0))
     # One of two lost: it may be back before a change is carried out.
     assert plan(planner, make_engines(4, 1)) == []
-    later = NOW + DECODER_PATIENCE
+    later = NOW + DECODER_DELAY
     assert len(plan(planner, make_engines(4, 1), now=later)) == 1
 
 
-def make_newcomer(stage=Stage.DECODE):
+def make_new_engine(stage=Stage.DECODE):
     return UpstreamRecord("new", "llm", "10.0.0.9:80", "a", 64, False, stage)
 
 
@@ -63,7 +63,7 @@
     engines = make_engines(4, 2)
     assert plan(planner, engines) == []
     # One that reads is replaced, and the new one generates, as all that start.
-    engines = [*engines[1:], make_newcomer()]
+    engines = [*engines[1:], make_new_engine()]
     [change] = plan(planner, engines, now=NOW + timedelta(seconds=1))
     assert (change.engine.id, change.stage) == ("new", Stage.PREFILL)
 
@@ -73,7 +73,7 @@
     planner = StagePlanner()
     engines = make_engines(4, 2)
     assert plan(planner, engines) == []
-    engines = [*engines[:5], make_newcomer()]
+    engines = [*engines[:5], make_new_engine()]
     ordered = {"e0": Stage.DECODE}
     now = NOW + timedelta(seconds=1)
     assert plan(planner, engines, now=now, ordered=ordered) == []
@@ -149,7 +149,7 @@
     engines = make_engines(4, 2)
     assert planner.plan("llm", engines, {}, 40, NOW, True, lost={"e5"}) == []
     assert planner.plan("llm", engines, {}, 40, soon, True, lost={"e5"}) == []
-    later = NOW + DECODER_PATIENCE
+    later = NOW + DECODER_DELAY
     assert len(planner.plan("llm", engines, {}, 40, later, True, lost={"e5"})) == 1
 
 
@@ -179,7 +179,7 @@
     planner = StagePlanner()
     engines = make_engines(4, 2)
     capacities = {"e4": 0.37, "e5": 0.4}
-    later = NOW + DECODER_PATIENCE
+    later = NOW + DECODER_DELAY
     assert plan_limited(planner, engines, capacities) == []
     changes = plan_limited(planner, engines, capacities, later)
     assert [change.stage for change in changes] == [Stage.DECODE]
--- a/packages/mustardquay/tests/test_stop_bounds.py
+++ b/packages/mustardquay/tests/test_stop_bounds.py
@@ -3,7 +3,7 @@
 from datetime import timedelta
 
 from mustardquay.peer_availability import (
-    MEMORY,
+    MEMBER_LIFETIME,
     PeerAvailability,
     find_retry_delay,
     is_still_routed,
@@ -50,7 +50,7 @@
     """
     book = PeerAvailability()
     hear(book, "g2", timedelta())
-    now = MEMORY - SECOND
+    now = MEMBER_LIFETIME - SECOND
     assert now > DIGEST_LIFETIME
     members = book.list_members(now)
     assert find_retry_delay(members, now + 5 * SECOND, 9 * SECOND, now) > timedelta()
