--- a/packages/mustardquay/src/mustardquay/caches.py
+++ b/packages/mustardquay/src/mustardquay/caches.py
@@ -1,10 +1,10 @@
-"""Caches: which engine is believed to hold which pieces of prompts.
+"""Caches: which engine is expected to have which pieces of prompts in its prefix cache.
 
-A piece is the hash of about two thousand tokens and of all before them, so a
-prompt's cached prefix is the run of its leading pieces that one engine holds. The
-index follows the engines' numbered events. They come late and with gaps; behind a
-gap the index of that engine may name pieces that are gone, so it is doubtful, and
-counts for less, until as many pieces as it holds were confirmed again.
+A piece is identified by the hash of about two thousand tokens and of all before them,
+so a prompt's cached prefix is the sequence of its leading pieces that one engine has
+cached. The index follows the numbered events of the engines, which are delayed and may
+have gaps; after a gap, the index of that engine may contain evicted pieces. Its
+confidence is reduced until as many pieces as it contains have been confirmed again.
 """
 
 from collections import OrderedDict
@@ -17,12 +17,12 @@
 
 PIECE_TOKENS = 2000
 PIECE_BYTES = 8000
-"""Bytes of UTF-8 in one piece, as docs/PLATFORM.md has it."""
-DOUBTFUL_TRUST = 0.5
+"""Bytes of UTF-8 in one piece, as specified in docs/PLATFORM.md."""
+UNCONFIRMED_CONFIDENCE = 0.5
 
 
 def hash_prefix(prompt: str) -> tuple[int, ...]:
-    """Return the hash of each whole piece of a prompt with all before it.
+    """Return the hash of each whole piece of a prompt, including all pieces before it.
 
     >>> len(hash_prefix("x" * 20_000))
     2
@@ -46,70 +46,70 @@
 
 
 @dataclass(slots=True)
-class _Held:
+class _CacheState:
     pieces: OrderedDict[int, None] = field(default_factory=OrderedDict)
     last: int = 0
     unconfirmed: set[int] = field(default_factory=set)
-    """Pieces known from before a gap and not seen since."""
+    """Pieces recorded before a gap and not confirmed since."""
 
 
 class PrefixIndex:
-    """What each engine's prefix cache holds, in bounded memory.
+    """The expected contents of the engines' prefix caches, in bounded memory.
 
     At most `pieces_per_upstream` pieces of at most `upstreams` engines are kept; the
-    least recently used go first.
+    least recently used are dropped first.
     """
 
     def __init__(self, pieces_per_upstream: int = 1024, upstreams: int = 64):
         self._limit = pieces_per_upstream
         self._upstreams = upstreams
-        self._held: OrderedDict[str, _Held] = OrderedDict()
+        self._caches: OrderedDict[str, _CacheState] = OrderedDict()
         self._holders: dict[int, dict[str, None]] = {}
 
     def __len__(self) -> int:
-        """Return the number of pieces known, over all engines."""
-        return sum(len(held.pieces) for held in self._held.values())
+        """Return the number of pieces over all engines."""
+        return sum(len(cache.pieces) for cache in self._caches.values())
 
     def apply(self, upstream: str, oldest: int, events: Iterable[CacheEvent]) -> None:
-        """Follow the events of one engine, in any order and repeated at will.
+        """Apply the events of one engine, which may be unordered or repeated.
 
-        `oldest` is the lowest number that the engine still has: events between the
-        last one seen and it are lost.
+        `oldest` is the lowest number that the engine still has: events between the last
+        one applied and it are lost.
         """
-        held = self._open(upstream)
-        if oldest > held.last + 1:
-            self._doubt(held)
-            held.last = oldest - 1
+        cache = self._get_cache(upstream)
+        if oldest > cache.last + 1:
+            self._mark_unconfirmed(cache)
+            cache.last = oldest - 1
         for event in sorted(events, key=lambda event: event.number):
-            if event.number <= held.last:
+            if event.number <= cache.last:
                 continue
-            if event.number > held.last + 1:
-                self._doubt(held)
-            held.last = event.number
+            if event.number > cache.last + 1:
+                self._mark_unconfirmed(cache)
+            cache.last = event.number
             if event.stored:
-                self._store(upstream, held, event.piece)
+                self._store(upstream, cache, event.piece)
             else:
-                self._evict(upstream, held, event.piece)
+                self._evict(upstream, cache, event.piece)
 
     def last_number(self, upstream: str) -> int:
-        """Return the number of the last event seen; 0 before the first."""
-        held = self._held.get(upstream)
-        return held.last if held else 0
+        """Return the number of the last event applied; 0 before the first."""
+        cache = self._caches.get(upstream)
+        return cache.last if cache else 0
 
     def note_sent(self, upstream: str, prefix: Sequence[int]) -> None:
-        """Expect the pieces of a prompt just sent, before their events come."""
-        held = self._open(upstream)
+        """Add the pieces of a prompt just sent, before the events for them arrive."""
+        cache = self._get_cache(upstream)
         for piece in prefix:
-            self._store(upstream, held, piece)
+            self._store(upstream, cache, piece)
 
     def note_cached(self, upstream: str, prefix: Sequence[int], pieces: int) -> None:
-        """Correct the index by what the engine says it found for a prompt."""
-        held = self._open(upstream)
+        """Add the leading pieces that the engine reported as cached for a prompt."""
+        cache = self._get_cache(upstream)
         for piece in prefix[:pieces]:
-            self._store(upstream, held, piece)
+            self._store(upstream, cache, piece)
 
     def holders(self, prefix: Sequence[int], limit: int = 4) -> list[str]:
-        """Return engines that hold the longest part of the prefix, longest first."""
+        """Return the engines with the longest cached prefixes, longest first."""
         found: dict[str, None] = {}
         for piece in reversed(prefix):
             for upstream in self._holders.get(piece, ()):
@@ -119,60 +119,60 @@
         return list(found)
 
     def match(self, upstream: str, prefix: Sequence[int]) -> int:
-        """Return how many leading pieces the engine is believed to hold."""
-        held = self._held.get(upstream)
-        if held is None:
+        """Return how many leading pieces are expected in the engine's cache."""
+        cache = self._caches.get(upstream)
+        if cache is None:
             return 0
         count = 0
         for piece in prefix:
-            if piece not in held.pieces:
+            if piece not in cache.pieces:
                 break
             count += 1
         return count
 
     def confidence(self, upstream: str) -> float:
-        """Return how far a match may be believed: 1, or less behind a gap."""
-        held = self._held.get(upstream)
-        if held is None or not held.unconfirmed:
+        """Return the confidence in a match: 1, or less after a gap."""
+        cache = self._caches.get(upstream)
+        if cache is None or not cache.unconfirmed:
             return 1.0
-        doubtful = len(held.unconfirmed) / max(len(held.pieces), 1)
-        return 1.0 - (1.0 - DOUBTFUL_TRUST) * min(doubtful, 1.0)
+        unconfirmed = len(cache.unconfirmed) / max(len(cache.pieces), 1)
+        return 1.0 - (1.0 - UNCONFIRMED_CONFIDENCE) * min(unconfirmed, 1.0)
 
     def expected_tokens(self, upstream: str, prefix: Sequence[int]) -> int:
-        """Return the prompt tokens that need not be computed there."""
+        """Return the prompt tokens that the engine is expected not to compute."""
         count = self.match(upstream, prefix)
         return int(count * PIECE_TOKENS * self.confidence(upstream)) if count else 0
 
     def forget(self, upstream: str) -> None:
-        """Drop an engine that has left, restarted or lost its cache."""
-        held = self._held.pop(upstream, None)
-        for piece in held.pieces if held else ():
+        """Drop an engine that was removed, has restarted or has lost its cache."""
+        cache = self._caches.pop(upstream, None)
+        for piece in cache.pieces if cache else ():
             self._drop_holder(upstream, piece)
 
-    def _open(self, upstream: str) -> _Held:
-        held = self._held.get(upstream)
-        if held is None:
-            held = self._held[upstream] = _Held()
-            if len(self._held) > self._upstreams:
-                self.forget(next(iter(self._held)))
-        self._held.move_to_end(upstream)
-        return held
-
-    def _doubt(self, held: _Held) -> None:
-        held.unconfirmed = set(held.pieces)
-
-    def _store(self, upstream: str, held: _Held, piece: int) -> None:
-        held.pieces[piece] = None
-        held.pieces.move_to_end(piece)
-        held.unconfirmed.discard(piece)
+    def _get_cache(self, upstream: str) -> _CacheState:
+        cache = self._caches.get(upstream)
+        if cache is None:
+            cache = self._caches[upstream] = _CacheState()
+            if len(self._caches) > self._upstreams:
+                self.forget(next(iter(self._caches)))
+        self._caches.move_to_end(upstream)
+        return cache
+
+    def _mark_unconfirmed(self, cache: _CacheState) -> None:
+        cache.unconfirmed = set(cache.pieces)
+
+    def _store(self, upstream: str, cache: _CacheState, piece: int) -> None:
+        cache.pieces[piece] = None
+        cache.pieces.move_to_end(piece)
+        cache.unconfirmed.discard(piece)
         self._holders.setdefault(piece, {})[upstream] = None
-        if len(held.pieces) > self._limit:
-            self._evict(upstream, held, next(iter(held.pieces)))
+        if len(cache.pieces) > self._limit:
+            self._evict(upstream, cache, next(iter(cache.pieces)))
 
-    def _evict(self, upstream: str, held: _Held, piece: int) -> None:
-        held.unconfirmed.discard(piece)
-        if piece in held.pieces:
-            del held.pieces[piece]
+    def _evict(self, upstream: str, cache: _CacheState, piece: int) -> None:
+        cache.unconfirmed.discard(piece)
+        if piece in cache.pieces:
+            del cache.pieces[piece]
             self._drop_holder(upstream, piece)
 
     def _drop_holder(self, upstream: str, piece: int) -> None:
--- a/packages/mustardquay/src/mustardquay/estimates.py
+++ b/packages/mustardquay/src/mustardquay/estimates.py
@@ -1,7 +1,8 @@
-"""Estimates: what an agent knows of its engine's progress, from what came of it.
+"""Estimates: the progress of an engine, as estimated by its agent.
 
-Nothing here asks the engine: starts, first tokens and ends are enough to know when the
-next prefill is over, when a slot comes free, and how far such guesses are off.
+The engine is not queried: starts, first tokens and ends of requests are enough to
+estimate when the next prefill finishes, when a slot becomes free, and how far such
+estimates are off.
 """
 
 from dataclasses import dataclass
@@ -13,8 +14,8 @@
 
 DEFAULT_PREFILL_RATE = 8000.0
 DEFAULT_DECODE_RATE = 40.0
-LEAST_RATE = 1.0
-MOST_RATE = 1e7
+MIN_RATE = 1.0
+MAX_RATE = 1e7
 
 
 @dataclass(slots=True)
@@ -28,15 +29,16 @@
 class _Prefill:
     duration: timedelta
     expected_at: timedelta
-    """When the first token would come at the known rate."""
+    """When the first token is expected at the reported rate."""
 
 
 class _Margin:
-    """How much later than expected first tokens come, learned from each.
+    """Difference between measured and expected times of first tokens.
 
-    The mean error and twice its mean deviation, as for retransmission timers
-    (Jacobson, SIGCOMM 1988). It holds what no rate says: the length of a step, streams
-    beside the prefill, an engine that has grown slow.
+    The mean error plus twice its mean deviation, as for retransmission timers
+    (Jacobson, SIGCOMM 1988). It covers effects that the rates don't include: the length
+    of a decode step, streams running during the prefill, an engine that has become
+    slow.
     """
 
     def __init__(self):
@@ -50,7 +52,7 @@
         return timedelta(seconds=min(max(margin, 0.0), 1.0))
 
     def learn(self, error: float) -> None:
-        """Take in an error in seconds; positive when the token came late."""
+        """Add an error in seconds; positive when the token was late."""
         error = min(max(error, -1.0), 2.0)
         self._deviation += 0.1 * (abs(error - self._mean) - self._deviation)
         self._mean += 0.1 * (error - self._mean)
@@ -72,34 +74,34 @@
 
     @property
     def running(self) -> int:
-        """Return how many requests run."""
+        """Return the number of running requests."""
         return len(self._running)
 
     @property
     def concurrency(self) -> int:
-        """Return how many requests the engine runs at once."""
+        """Return how many requests the engine runs concurrently."""
         return self._concurrency
 
     def set_rates(
         self, concurrency: int, prefill_rate: float, decode_rate: float
     ) -> None:
-        """Take over what the engine can do in its present role.
+        """Set the rates of the engine in its current role.
 
-        Rates that no engine has are ignored: one wrong report of 0 or infinity would
-        have all work refused, or all accepted.
+        Impossible rates are ignored: a single wrong report of 0 or infinity would cause
+        all requests to be refused, or all to be accepted.
         """
         self._concurrency = max(concurrency, 1)
-        if LEAST_RATE <= prefill_rate < MOST_RATE:
+        if MIN_RATE <= prefill_rate < MAX_RATE:
             self._prefill_rate = prefill_rate
-        if LEAST_RATE <= decode_rate < MOST_RATE:
+        if MIN_RATE <= decode_rate < MAX_RATE:
             self._decode_rate = decode_rate
 
     def count_running(self, customer: str) -> int:
-        """Return how many requests of a customer run."""
+        """Return the number of running requests of a customer."""
         return self._running_of.get(customer, 0)
 
     def start(self, work: Work, now: timedelta) -> float:
-        """Note that work was given to the engine; returns its expected cost."""
+        """Record that a request was sent to the engine; return its expected cost."""
         cost = self.cost(work.uncached_tokens, work.output_tokens)
         own = self.prefill_time(work.uncached_tokens)
         self._prefilled_at = max(self._prefilled_at, now) + own
@@ -110,7 +112,7 @@
         return cost
 
     def note_first_token(self, key: tuple[str, int], now: timedelta) -> None:
-        """Note that the prefill of a running request is over."""
+        """Record that the prefill of a running request has finished."""
         prefill = self._prefilling.pop(key, None)
         if prefill is not None:
             self._margin.learn((now - prefill.expected_at).total_seconds())
@@ -120,11 +122,11 @@
     def finish(
         self, key: tuple[str, int], output_tokens: int, now: timedelta
     ) -> tuple[str, float] | None:
-        """Note the end; returns the customer and the cost beyond the expected one."""
+        """Record the end; return the customer and the cost beyond the expected one."""
         if output_tokens:
             self.note_first_token(key, now)
         elif self._prefilling.pop(key, None) is not None:
-            # Cut before its first token: it says nothing of how late those come.
+            # It ended before its first token, so there is no error to learn from.
             left = (other.duration for other in self._prefilling.values())
             self._prefilled_at = now + sum(left, timedelta())
         running = self._running.pop(key, None)
@@ -139,24 +141,27 @@
         return customer, used - running.charge
 
     def cost(self, prefill_tokens: int, output_tokens: int) -> float:
-        """Return the engine seconds of a request; streams share a step."""
+        """Return the engine seconds of a request; streams share decode steps."""
         decode = output_tokens / (self._decode_rate * self._concurrency)
         return prefill_tokens / self._prefill_rate + decode
 
     def prefill_time(self, tokens: float) -> timedelta:
-        """Return the time to compute so many prompt tokens."""
+        """Return the time to prefill `tokens` prompt tokens."""
         return timedelta(seconds=tokens / self._prefill_rate)
 
     def first_token_time(self, work: Work) -> timedelta:
-        """Return the time from a start to the first token, with the margin."""
+        """Return the time from a start to the first token, including the margin."""
         return self.prefill_time(work.uncached_tokens) + self._margin.value
 
     def prefill_left(self, now: timedelta) -> timedelta:
-        """Return the time until all the prefill given to the engine is done."""
+        """Return the time until all prefill sent to the engine is finished."""
         return max(self._prefilled_at - now, timedelta())
 
     def slot_time(self, ahead: float) -> timedelta:
-        """Return when a slot is free behind so many others, as slots have been."""
+        """Return the time until a slot is free behind `ahead` other requests.
+
+        Based on the mean time for which requests have occupied slots.
+        """
         missing = len(self._running) + ahead + 1 - self._concurrency
         seconds = max(missing, 0.0) * self._residence / self._concurrency
         return timedelta(seconds=seconds)
--- a/packages/mustardquay/src/mustardquay/predictions.py
+++ b/packages/mustardquay/src/mustardquay/predictions.py
@@ -1,7 +1,7 @@
-"""Predictions: lengths of prompts and answers, and the rates of engines.
+"""Predictions: the lengths of prompts and answers, and the rates of engines.
 
-Everything here is learned online from what passes by, in bounded memory, and answers
-before the first sample with a prior and after wrong samples within fixed limits.
+All estimates are learned online in bounded memory. Before the first sample they return
+a prior, and wrong samples can't move them beyond fixed limits.
 """
 
 from bisect import bisect_left, insort
@@ -20,12 +20,12 @@
 ]
 
 WINDOW = 64
-FEWEST_SAMPLES = 5
-LONGEST_OUTPUT = 100_000
+MIN_SAMPLES = 5
+MAX_OUTPUT_TOKENS = 100_000
 BYTES_PER_TOKEN = 4.0
 SLOW_RATIO = 0.6
 HEALTHY_RATIO = 0.8
-REPORTS_TO_JUDGE = 3
+MIN_SLOW_REPORTS = 3
 
 
 @dataclass(slots=True)
@@ -47,10 +47,10 @@
 
 
 class OutputLengths:
-    """Quantiles of output tokens per customer and kind of work.
+    """Quantiles of the number of output tokens, by customer and kind of work.
 
-    A pair with too few samples falls back on its kind over all customers, then on
-    `prior`. The least recently used pairs are forgotten beyond `capacity`.
+    A pair with too few samples falls back to its kind over all customers, then to
+    `prior`. Beyond `capacity`, the least recently used pairs are dropped.
     """
 
     def __init__(self, prior: int = 128, capacity: int = 4096):
@@ -63,23 +63,23 @@
         return len(self._windows)
 
     def learn(self, customer: str, kind: str, output_tokens: int) -> None:
-        """Note the length of a whole answer; impossible lengths are ignored."""
-        if not 0 < output_tokens <= LONGEST_OUTPUT:
+        """Record the length of a complete answer; impossible lengths are ignored."""
+        if not 0 < output_tokens <= MAX_OUTPUT_TOKENS:
             return
         for key in ((customer, kind), ("", kind)):
-            self._open(key).add(output_tokens)
+            self._get_window(key).add(output_tokens)
 
     def predict(
         self, customer: str, kind: str, limit: int = 0, part: float = 0.5
     ) -> int:
-        """Return a quantile of the length, at most the caller's `limit` if any."""
+        """Return a quantile of the length, at most the caller's `limit` if given."""
         for key in ((customer, kind), ("", kind)):
             window = self._windows.get(key)
-            if window is not None and len(window.ordered) >= FEWEST_SAMPLES:
+            if window is not None and len(window.ordered) >= MIN_SAMPLES:
                 return _limit(window.quantile(part), limit)
         return _limit(self._prior, limit)
 
-    def _open(self, key: tuple[str, str]) -> _Window:
+    def _get_window(self, key: tuple[str, str]) -> _Window:
         window = self._windows.get(key)
         if window is None:
             window = self._windows[key] = _Window()
@@ -94,7 +94,7 @@
 
 
 class PromptLengths:
-    """Bytes of prompt per token, per model, as an exponential mean."""
+    """Bytes of prompt per token, as an exponential mean for each model."""
 
     def __init__(self, weight: float = 0.05, capacity: int = 256):
         self._weight = weight
@@ -102,7 +102,7 @@
         self._ratios: OrderedDict[str, float] = OrderedDict()
 
     def learn(self, model: str, prompt_bytes: int, prompt_tokens: int) -> None:
-        """Note a prompt's true length; ratios outside 1 to 8 are clipped."""
+        """Record a prompt's actual length; ratios outside 1 to 8 are clipped."""
         if prompt_bytes <= 0 or prompt_tokens <= 0:
             return
         ratio = min(max(prompt_bytes / prompt_tokens, 1.0), 8.0)
@@ -113,7 +113,7 @@
             self._ratios.popitem(last=False)
 
     def predict(self, model: str, prompt_bytes: int) -> int:
-        """Return the expected tokens of a prompt; at least 1."""
+        """Return the expected number of tokens of a prompt; at least 1."""
         ratio = self._ratios.get(model, BYTES_PER_TOKEN)
         return max(int(prompt_bytes / ratio), 1)
 
@@ -123,16 +123,16 @@
     role: Role
     prefill: deque[float] = field(default_factory=lambda: deque(maxlen=5))
     decode: deque[float] = field(default_factory=lambda: deque(maxlen=5))
-    below: int = 0
+    slow_reports: int = 0
     slow: bool = False
 
 
 class RateEstimator:
-    """Rates of engines from their lagging reports, and which engine fails slow.
+    """Rates of engines from their delayed reports, and which engines are slow.
 
-    A rate is the median of the last five reports, so that one wrong report does no
-    harm. An engine is slow when three reports in a row lie under 0.6 of the median of
-    its peers in the same role, and healthy again above 0.8.
+    A rate is the median of the last five reports, so that a single wrong report has no
+    effect. An engine is slow when three consecutive reports are below 0.6 of the median
+    of its peers in the same role, and healthy again above 0.8.
     """
 
     def __init__(self, capacity: int = 64):
@@ -142,9 +142,9 @@
     def learn(
         self, upstream: str, role: Role, prefill_rate: float, decode_rate: float
     ) -> None:
-        """Take in a report; rates that are not positive and finite are ignored.
+        """Record a report; rates that are not positive and finite are ignored.
 
-        A rate of 0 means that the engine had nothing of the kind to do.
+        A rate of 0 means that the engine had no work of this kind.
         """
         rates = self._rates.get(upstream)
         if rates is None or rates.role is not role:
@@ -156,15 +156,15 @@
             rates.prefill.append(prefill_rate)
         if 0.1 <= decode_rate < 1e5:
             rates.decode.append(decode_rate)
-        self._judge(rates)
+        self._update_slow(rates)
 
     def prefill_rate(self, upstream: str, prior: float) -> float:
-        """Return prompt tokens a second, or `prior` without a report."""
+        """Return prompt tokens per second, or `prior` without a report."""
         rates = self._rates.get(upstream)
         return median(rates.prefill) if rates and rates.prefill else prior
 
     def decode_rate(self, upstream: str, prior: float) -> float:
-        """Return output tokens a second of one stream, or `prior`."""
+        """Return output tokens per second of one stream, or `prior`."""
         rates = self._rates.get(upstream)
         return median(rates.decode) if rates and rates.decode else prior
 
@@ -176,13 +176,13 @@
         return max(1.0 / max(self._ratio(rates), 0.01), 1.0)
 
     def forget(self, upstream: str) -> None:
-        """Drop an engine that has left or restarted."""
+        """Drop an engine that has been removed or restarted."""
         self._rates.pop(upstream, None)
 
-    def _judge(self, rates: _Rates) -> None:
+    def _update_slow(self, rates: _Rates) -> None:
         ratio = self._ratio(rates)
-        rates.below = rates.below + 1 if ratio < SLOW_RATIO else 0
-        if rates.below >= REPORTS_TO_JUDGE:
+        rates.slow_reports = rates.slow_reports + 1 if ratio < SLOW_RATIO else 0
+        if rates.slow_reports >= MIN_SLOW_REPORTS:
             rates.slow = True
         elif ratio > HEALTHY_RATIO:
             rates.slow = False
@@ -205,10 +205,11 @@
 def estimate_queued_tokens(
     view: UpstreamView, now: timedelta, within_share: bool = False
 ) -> float:
-    """Return the prompt tokens still queued, if the engine went on since its report.
+    """Return the prompt tokens still queued, given the progress since the last report.
 
-    An old report says less and less: the engine has worked on what it named. Work
-    within its share overtakes all other, so that only its like is ahead of it.
+    The older a report, the more of its queue has been processed. Work of customers
+    within their share precedes all other work, so that only the queue of such customers
+    is ahead of it.
     """
     queued = view.queued_tokens
     if within_share and view.queued_tokens_within is not None:
--- a/packages/mustardquay/src/mustardquay/requests.py
+++ b/packages/mustardquay/src/mustardquay/requests.py
@@ -1,4 +1,4 @@
-"""Requests: what the decisions know of one request, and how a send of it ended."""
+"""Requests: the traits of a request that decisions use, and the results of sends."""
 
 from dataclasses import dataclass
 from enum import StrEnum
@@ -8,7 +8,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PromptPart:
-    """One part of a prompt, shared by all the requests that begin alike."""
+    """One part of a prompt, shared by all requests with the same prefix."""
 
     id: str
     tokens: int
@@ -16,20 +16,20 @@
 
 @dataclass(frozen=True, slots=True)
 class PromptTraits:
-    """What a caller declares of a generation."""
+    """The traits of a generation that its caller declares."""
 
     model: str
     prompt_tokens: int
     output_tokens: int
-    """The most tokens that may be generated."""
+    """Maximum number of tokens to generate."""
     parts: tuple[PromptPart, ...]
-    """In order; the last belongs to the request itself or to its session."""
+    """In order; the last one belongs to this request or its session alone."""
     expected_tokens: int | None = None
-    """The caller's estimate of the tokens that will be generated."""
+    """The caller's estimate of the number of tokens generated."""
 
     @property
     def shared_parts(self) -> tuple[PromptPart, ...]:
-        """Return the parts that other requests may have, too."""
+        """Return the parts that may occur in other requests, too."""
         return self.parts[:-1]
 
 
@@ -37,22 +37,22 @@
     """How one send of a request to an upstream ended."""
 
     ANSWERED = "answered"
-    """The upstream's whole answer is there, be it a success or a failure."""
+    """The upstream's answer is complete, whether it is a success or a failure."""
     NOT_SENT = "not_sent"
-    """No byte left: the upstream can't have run it."""
+    """No byte was sent: the upstream can't have run the request."""
     NOT_RUN = "not_run"
-    """The upstream says that it did not run it and won't."""
+    """The upstream reported that it did not run the request and won't."""
     OTHER_UPSTREAM = "other_upstream"
-    """The address belongs to another upstream by now; not run."""
+    """The address now belongs to another upstream; the request was not run."""
     UNREAD = "unread"
-    """An engine did not read the prompt; the request itself was not sent."""
+    """The prefill failed; the request itself was not sent."""
     BROKEN = "broken"
-    """The connection ended, or what came was no answer: it may have run."""
+    """The connection ended or the answer was invalid: the request may have run."""
     CALLER_LEFT = "caller_left"
 
     @property
     def is_not_run(self) -> bool:
-        """Return whether this send surely did not run the request."""
+        """Return whether this send certainly did not run the request."""
         return self in (
             SendResult.NOT_SENT,
             SendResult.NOT_RUN,
--- a/packages/mustardquay/src/mustardquay/upstream_lists.py
+++ b/packages/mustardquay/src/mustardquay/upstream_lists.py
@@ -1,8 +1,8 @@
-"""Upstream lists: which upstreams take work, from records that upstreams keep alive.
+"""Upstream lists: which upstreams accept work, from the records that they renew.
 
-Each upstream keeps a record of itself in the platform's store; the store removes
-records that are not renewed. A record may also vanish because the upstream could not
-renew it while the store was out of service, although it serves.
+Each upstream maintains a record of itself in the platform's store, which removes
+records that are not renewed. A record may also expire because the upstream could not
+renew it during an outage of the store, although it is serving.
 """
 
 from collections.abc import Iterable, Iterator
@@ -10,15 +10,15 @@
 from datetime import timedelta
 from enum import StrEnum
 
-__all__ = ["RETURN_GRACE", "Stage", "UpstreamList", "UpstreamRecord"]
+__all__ = ["RESTORE_GRACE", "Stage", "UpstreamList", "UpstreamRecord"]
 
-RETURN_GRACE = timedelta(seconds=2.2)
-"""How long records may be missing after the store is back. The platform says that
-live upstreams renew theirs within about 2 s; the rest is for one poll."""
+RESTORE_GRACE = timedelta(seconds=2.2)
+"""How long records may be missing after the store has recovered. The platform documents
+that live upstreams renew theirs within about 2 s; the rest is for one poll."""
 
 
 class Stage(StrEnum):
-    """What a model engine does; plain upstreams have none."""
+    """The stage of a generation that an engine runs; plain upstreams have none."""
 
     NONE = ""
     PREFILL = "prefill"
@@ -27,13 +27,14 @@
 
 @dataclass(frozen=True, slots=True)
 class UpstreamRecord:
-    """What an upstream says of itself in the store."""
+    """The record that an upstream maintains in the store."""
 
     id: str
-    """New at most starts of the upstream; an upstream refuses work for another id."""
+    """Usually changes when the upstream restarts; an upstream refuses work for another
+    id."""
     service: str
     address: str
-    """IP number and port."""
+    """IP address and port."""
     availability_zone: str
     slots: int
     draining: bool
@@ -41,11 +42,11 @@
     versions: tuple[tuple[str, int], ...] = ()
     """Models with the version of their weights."""
     cold_for: timedelta = timedelta()
-    """How much longer the upstream is slow after its start, as of this record."""
+    """Remaining warm-up time of the upstream when the record was written."""
     started_ms: int = 0
-    """Start of this incarnation in Unix milliseconds; 0 when it is not told."""
+    """Start of this incarnation in Unix milliseconds; 0 if not reported."""
     sequence: int = 0
-    """Rises with each record that an incarnation writes; 0 when it is not told."""
+    """Increases with each record that an incarnation writes; 0 if not reported."""
 
 
 @dataclass(slots=True)
@@ -55,12 +56,12 @@
 
 
 class UpstreamList:
-    """The records as they were last read, with a grace after an outage.
+    """The last known records, with a grace period after an outage of the store.
 
-    Guards against an outage of the store that takes live upstreams' records with it:
-    it shows as all upstreams of a service vanishing at once when the store returns.
-    Records that were known before the outage are kept for `RETURN_GRACE` after the
-    first answer, in which live upstreams write theirs again.
+    Guards against an outage in which the records of live upstreams expire: when the
+    store recovers, all upstreams of a service appear to be removed at once. Records
+    known before the outage are kept for `RESTORE_GRACE` after the first answer, while
+    live upstreams write theirs again.
     """
 
     def __init__(self) -> None:
@@ -70,11 +71,11 @@
 
     @property
     def is_known(self) -> bool:
-        """Return whether the list was ever read."""
+        """Return whether the list has been read at least once."""
         return self._is_known
 
     def __iter__(self) -> Iterator[UpstreamRecord]:
-        """Yield the upstreams that may get work or still finish some."""
+        """Yield the upstreams that accept work or are still finishing some."""
         return (listed.record for listed in self._listed.values())
 
     def get(self, id: str) -> UpstreamRecord | None:
@@ -83,7 +84,7 @@
         return listed.record if listed else None
 
     def list_usable(self, service: str) -> list[UpstreamRecord]:
-        """Return the upstreams of a service that take new work."""
+        """Return the upstreams of a service that accept new work."""
         return [
             listed.record
             for listed in self._listed.values()
@@ -91,18 +92,18 @@
         ]
 
     def begin_grace(self, now: timedelta) -> None:
-        """Note that the store answers again after an outage."""
-        self._grace_until = now + RETURN_GRACE
+        """Start the grace period after an outage of the store."""
+        self._grace_until = now + RESTORE_GRACE
 
     def put(self, record: UpstreamRecord) -> UpstreamRecord | None:
-        """Take in a record; returns the one that it replaces."""
+        """Add a record; return the one that it replaces."""
         before = self._listed.get(record.id)
         self._listed[record.id] = _Listed(record)
         self._is_known = True
         return before.record if before else None
 
     def remove(self, id: str, now: timedelta) -> bool:
-        """Take in that a record is gone; returns whether the upstream is, too."""
+        """Remove a record; return whether the upstream was removed, too."""
         listed = self._listed.get(id)
         if listed is None:
             return False
@@ -115,7 +116,7 @@
     def replace(
         self, records: Iterable[UpstreamRecord], now: timedelta
     ) -> list[UpstreamRecord]:
-        """Take in the whole list; returns the upstreams that are gone by it."""
+        """Replace the whole list; return the upstreams that were removed."""
         present = set()
         for record in records:
             self.put(record)
@@ -129,7 +130,7 @@
         return gone
 
     def expire(self, now: timedelta) -> list[UpstreamRecord]:
-        """Drop the records that are still missing after the grace; returns them."""
+        """Drop and return the records still missing after the grace period."""
         if self._grace_until is None or now < self._grace_until:
             return []
         self._grace_until = None
--- a/packages/mustardquay/src/mustardquay/works.py
+++ b/packages/mustardquay/src/mustardquay/works.py
@@ -1,4 +1,4 @@
-"""Works: a request as the decisions see it, and what is known of an upstream."""
+"""Works: the inputs of admission and routing for a request and for an upstream."""
 
 from dataclasses import dataclass
 from datetime import timedelta
@@ -8,7 +8,7 @@
 
 
 class Role(StrEnum):
-    """Which phases of a generation an engine runs; `service` is no engine."""
+    """Which stages of a generation an engine runs; `service` is not an engine."""
 
     PREFILL = "prefill"
     DECODE = "decode"
@@ -18,7 +18,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Work:
-    """One attempt of a request, with all that admission and routing need."""
+    """One attempt of a request, with all inputs of admission and routing."""
 
     request: str
     attempt: int
@@ -29,26 +29,26 @@
     prompt_tokens: int = 0
     """Estimated from the length of the prompt; 0 for a plain service."""
     output_tokens: int = 0
-    """Expected, not the limit that the caller sets."""
+    """Expected number, not the limit set by the caller."""
     share: float = 1.0
-    """The customer's share from its contract."""
+    """The customer's share according to its contract."""
     priority: int = 0
     start_by: timedelta = timedelta.max
-    """Monotonic instant of this process by which the first token must come."""
+    """Monotonic time of this process until which the first token is due."""
     finish_by: timedelta = timedelta.max
-    """Monotonic instant by which the whole answer must be there."""
+    """Monotonic time until which the whole answer is due."""
     prefix: tuple[int, ...] = ()
-    """Hashes of the prompt's leading pieces, each over all before it."""
+    """Hashes of the prompt's leading pieces, each including all pieces before it."""
     fingerprint: int = 0
-    """Hash of what is run, equal for the same body sent again."""
+    """Hash of the request's content; the same when the same body is sent again."""
     repeatable: bool = True
     """Whether the work is idempotent and may be retried."""
     cached_tokens: int = 0
-    """Leading prompt tokens that the engine is expected to have cached."""
+    """Leading prompt tokens expected in the engine's prefix cache."""
     over_share: bool = False
-    """Whether the customer uses more than its share of the fleet just now."""
+    """Whether the customer currently uses more than its share of the fleet."""
     between_tokens: timedelta = timedelta(milliseconds=60)
-    """Mean gap between two tokens that the customer tolerates."""
+    """Mean time between two tokens that the customer tolerates."""
 
     @property
     def uncached_tokens(self) -> int:
@@ -57,16 +57,17 @@
 
     @property
     def key(self) -> tuple[str, int]:
-        """Return what names this attempt."""
+        """Return the key that identifies this attempt."""
         return (self.request, self.attempt)
 
 
 @dataclass(slots=True)
 class UpstreamView:
-    """What an entry knows of one upstream: reported, with its age, and its own.
+    """The state of one upstream as known to an entry.
 
-    The view is already old when it is read; `reported_at` says how old, and the
-    entry's own requests in flight correct it at once.
+    Combines reports with the requests of the entry itself. Reports are outdated on
+    arrival; `reported_at` gives their age, and the entry's own requests in flight
+    correct them at once.
     """
 
     name: str
@@ -78,24 +79,24 @@
     reachable: bool = False
     draining: bool = False
     ready: bool = True
-    """False while the engine's state is not confirmed against its order."""
+    """False until the engine has confirmed the state that it was ordered to take."""
     reported_at: timedelta = timedelta()
-    """Monotonic instant at which the last load report arrived here."""
+    """Monotonic time at which the last load report arrived."""
     queued_tokens: int = 0
-    """Prefill tokens waiting at the agent, as reported."""
+    """Prefill tokens queued at the agent, as reported."""
     queued_tokens_within: int | None = None
-    """The part of them that customers within their share wait for, if reported."""
+    """The part of them that belongs to customers within their share, if reported."""
     running: int = 0
     """Requests running on the engine, as reported."""
     prefill_rate: float = 8000.0
-    """Prompt tokens a second, learned."""
+    """Prompt tokens per second, learned."""
     decode_rate: float = 40.0
-    """Output tokens a second of one stream, learned."""
+    """Output tokens per second of one stream, learned."""
     own_tokens: int = 0
-    """Prompt tokens of this entry's attempts sent after the last report."""
+    """Prompt tokens of this entry's attempts sent since the last report."""
     own_running: int = 0
     """Attempts of this entry that are in flight."""
     concurrency: int = 32
-    """Requests that the engine runs at once in its present role."""
+    """Requests that the engine runs concurrently in its current role."""
     slowness: float = 1.0
-    """How many times slower than its peers the engine is; 1 when healthy."""
+    """How many times slower than its peers the engine is; 1 if healthy."""
--- a/packages/mustardquay/tests/test_retained_prefills.py
+++ b/packages/mustardquay/tests/test_retained_prefills.py
@@ -12,7 +12,7 @@
 from mustardquay.requests import PromptPart
 from mustardquay.retained_prefills import PrefillLoss, find_prefill_loss
 from mustardquay.upstream_lists import Stage, UpstreamRecord
-from mustardquay.upstream_loads import EJECTION_LEAST, LOST_TIME, UpstreamLoads
+from mustardquay.upstream_loads import LOST_TIME, MIN_EJECTION_SENDS, UpstreamLoads
 
 NOW = timedelta(seconds=5)
 PARTS = hash_parts([PromptPart("doc", 6_300), PromptPart("own", 2_890)])
@@ -74,7 +74,7 @@
 
 def test_a_reader_is_copied_from_though_one_connection_to_it_failed(states):
     """Guards against readings dropped by a gateway that is itself hard to reach."""
-    for _ in range(EJECTION_LEAST):
+    for _ in range(MIN_EJECTION_SENDS):
         states.loads.end(READER.id, True, NOW)
     states.loads.note_unreachable(READER.id, NOW)
     assert judge(states) is None
--- a/packages/mustardquay/tests/test_upstream_lists.py
+++ b/packages/mustardquay/tests/test_upstream_lists.py
@@ -1,7 +1,7 @@
 from datetime import timedelta
 
 from mustardquay.upstream_lists import (
-    RETURN_GRACE,
+    RESTORE_GRACE,
     Stage,
     UpstreamList,
     UpstreamRecord,
@@ -42,7 +42,7 @@
     assert len(upstreams.list_usable("app")) == 2
 
     upstreams.put(make_record("one"))
-    later = NOW + RETURN_GRACE
+    later = NOW + RESTORE_GRACE
     assert [each.id for each in upstreams.expire(later)] == ["two"]
     assert [each.id for each in upstreams.list_usable("app")] == ["one"]
 
