--- a/packages/mustardquay/src/mustardquay/caches.py
+++ b/packages/mustardquay/src/mustardquay/caches.py
@@ -135,8 +135,8 @@
         cache = self._caches.get(upstream)
         if cache is None or not cache.unconfirmed:
             return 1.0
-        unconfirmed = len(cache.unconfirmed) / max(len(cache.pieces), 1)
-        return 1.0 - (1.0 - UNCONFIRMED_CONFIDENCE) * min(unconfirmed, 1.0)
+        fraction = len(cache.unconfirmed) / max(len(cache.pieces), 1)
+        return 1.0 - (1.0 - UNCONFIRMED_CONFIDENCE) * min(fraction, 1.0)
 
     def expected_tokens(self, upstream: str, prefix: Sequence[int]) -> int:
         """Return the prompt tokens that the engine is expected not to compute."""
--- a/packages/mustardquay/src/mustardquay/stage_plans.py
+++ b/packages/mustardquay/src/mustardquay/stage_plans.py
@@ -202,8 +202,8 @@
 
 def count_streams(engines: Sequence[UpstreamRecord]) -> float:
     """Return how many concurrent streams one engine should decode."""
-    slots = min((engine.slots for engine in engines), default=1)
-    return max(STREAMS_PER_SLOT * slots, 1.0)
+    min_slots = min((engine.slots for engine in engines), default=1)
+    return max(STREAMS_PER_SLOT * min_slots, 1.0)
 
 
 def count_decoders(engines: int, streams: float, streams_per_engine: float) -> int:
--- a/packages/mustardquay/tests/test_decaying_fits.py
+++ b/packages/mustardquay/tests/test_decaying_fits.py
@@ -18,15 +18,15 @@
     assert all(0 <= value < 1e9 for value in fit.coefficients)
 
 
-def test_the_same_measurement_again_and_again_is_believed():
-    """Nothing tells two features apart when they always come together."""
+def test_repeated_measurements_converge():
+    """Features that always occur together have no unique solution without a prior."""
     fit = DecayingFit((0.005, 1e-5, 2e-10), (1.0, 4_000.0, 2e7))
     for _ in range(200):
         fit.learn((1.0, 4_000.0, 2e7), 0.3)
     assert abs(fit.predict((1.0, 4_000.0, 2e7)) - 0.3) < 0.02
 
 
-def test_waits_that_nobody_knew_of_hardly_raise_the_estimate():
+def test_unknown_waits_hardly_raise_the_estimate():
     random = Random(1)
     fit = DecayingFit((0.005, 1e-5), (1.0, 4_000.0))
     for _ in range(300):
--- a/packages/mustardquay/tests/test_engine_models.py
+++ b/packages/mustardquay/tests/test_engine_models.py
@@ -1,4 +1,4 @@
-"""Engine models learn any engine from its answers."""
+"""Engine models learn the speed of any engine from its answers."""
 
 from datetime import timedelta
 from random import Random
@@ -28,44 +28,44 @@
     return slower * (tokens * TOKEN + pairs * PAIR)
 
 
-def teach(models, engine, slower, count, random, unseen=0.0, now=NOW):
-    """Have a model see readings, a part of them behind waits that nobody knew of."""
+def train(models, engine, slower, count, random, unknown_share=0.0, now=NOW):
+    """Train a model with prefills, some of them after a wait that was not known."""
     for _ in range(count):
         prefill = draw_prefill(random)
         took = FIXED + time_prefill(prefill, slower) * random.uniform(0.95, 1.1)
-        if random.random() < unseen:
+        if random.random() < unknown_share:
             took += time_prefill(draw_prefill(random), slower)
         models.learn_prefill(engine, prefill, 0.0, took, now)
 
 
 def measure_error(models, engine, slower, random, now=NOW):
-    """Return the ratio of what is expected of many readings to the truth."""
+    """Return the ratio of the expected to the actual time of many prefills."""
     prefills = [draw_prefill(random) for _ in range(200)]
     expected = sum(models.expect_prefill(engine, each, now) for each in prefills)
     return expected / sum(time_prefill(each, slower) for each in prefills)
 
 
 @pytest.mark.parametrize("slower", [0.2, 0.45, 1.0, 2.1, 5.0])
-@pytest.mark.parametrize("unseen", [0.0, 0.4])
-def test_engines_of_any_speed_are_known_after_some_forty_answers(slower, unseen):
-    """Every long prompt is late although engines are idle.
+@pytest.mark.parametrize("unknown_share", [0.0, 0.4])
+def test_any_speed_is_learned_from_forty_answers(slower, unknown_share):
+    """Guards against late long prompts while engines are idle.
 
-    What engines take was stated for one kind of them; on others the gateways believed
-    in queues that were not there, or in none where there was one.
+    With constants measured for one type of engine, gateways with other types estimated
+    queues that did not exist, or missed those that did.
     """
-    random = Random(f"{slower} {unseen}")
+    random = Random(f"{slower} {unknown_share}")
     models, engine = EngineModels(), make_engine()
-    teach(models, engine, slower, 40, random, unseen)
+    train(models, engine, slower, 40, random, unknown_share)
     assert 0.75 < measure_error(models, engine, slower, random) < 1.5
 
 
-def test_an_engine_that_is_slower_than_the_others_is_told_apart():
+def test_a_slow_engine_is_detected():
     random = Random(2)
     models = EngineModels()
     fast, slow = make_engine("fast"), make_engine("slow")
     for _ in range(60):
-        teach(models, fast, 1.0, 2, random)
-        teach(models, slow, 3.0, 1, random)
+        train(models, fast, 1.0, 2, random)
+        train(models, slow, 3.0, 1, random)
     prefill = Prefill(3_000, 6_300)
     ratio = models.expect_prefill(slow, prefill, NOW) / models.expect_prefill(
         fast, prefill, NOW
@@ -75,32 +75,32 @@
     assert models.slowdown_factor(slow, later) < 1.1
 
 
-def test_a_change_of_speed_is_followed_within_some_thirty_answers():
+def test_a_change_of_speed_is_learned_from_thirty_answers():
     random = Random(3)
     models, engine = EngineModels(), make_engine()
-    teach(models, engine, 1.0, 100, random)
-    teach(models, engine, 4.0, 30, random)
+    train(models, engine, 1.0, 100, random)
+    train(models, engine, 4.0, 30, random)
     assert 0.7 < measure_error(models, engine, 4.0, random) < 1.5
 
 
-def test_one_answer_that_took_very_long_changes_little():
-    """All prompts are refused after an engine was frozen for ten seconds."""
+def test_a_single_outlier_changes_little():
+    """Guards against refusing all prompts after an engine froze for ten seconds."""
     random = Random(4)
     models, engine = EngineModels(), make_engine()
-    teach(models, engine, 1.0, 50, random)
+    train(models, engine, 1.0, 50, random)
     models.learn_prefill(engine, Prefill(3_000, 6_300), 0.0, 10.0, NOW)
     assert measure_error(models, engine, 1.0, random) < 1.3
 
 
-def test_a_gateway_that_starts_anew_takes_what_its_peers_know():
+def test_a_new_gateway_adopts_the_speeds_of_its_peers():
     random = Random(5)
     known, new, engine = EngineModels(), EngineModels(), make_engine()
-    teach(known, engine, 5.0, 60, random)
+    train(known, engine, 5.0, 60, random)
     new.adopt_speeds(known.export_speeds(), NOW)
     assert 0.75 < measure_error(new, engine, 5.0, random) < 1.5
 
 
-def test_an_engine_that_generates_reads_at_half_the_speed():
+def test_decode_engines_prefill_at_half_the_speed():
     models = EngineModels()
     prefill = Prefill(3_000)
     alone = models.expect_prefill(make_engine(stage=Stage.DECODE), prefill, NOW)
@@ -109,23 +109,23 @@
     )
 
 
-def test_measurements_behind_a_long_queue_are_left_out():
+def test_measurements_behind_a_long_queue_are_ignored():
     models, engine = EngineModels(), make_engine()
     for _ in range(50):
         models.learn_prefill(engine, Prefill(1_000), 5.0, 5.5, NOW)
     assert models.count_samples("llm") == 0
 
 
-def test_a_gateway_that_learned_from_a_few_late_answers_is_put_right_by_its_peers():
-    """A third of the callers get late answers until the end of the day.
+def test_peers_correct_a_model_of_few_late_answers():
+    """Guards against late answers for a third of the callers until the end of the day.
 
-    After all gateways were killed, one learned from five readings behind queues that
-    it did not know of, placed no more work where it would have learned better, and
-    sent every long prompt to the engines that generate.
+    After all gateways were killed, one learned from five prefills behind queues that it
+    did not know of. It sent every long prompt to the decode engines and no work to the
+    prefill engines, whose measurements would have corrected the model.
     """
     random = Random(6)
     known, late, engine = EngineModels(), EngineModels(), make_engine()
-    teach(known, engine, 1.0, 60, random)
+    train(known, engine, 1.0, 60, random)
     for _ in range(5):
         late.learn_prefill(engine, Prefill(2_000), 0.0, 1.5, NOW)
     assert measure_error(late, engine, 1.0, random) > 3
@@ -133,8 +133,8 @@
     assert 0.75 < measure_error(late, engine, 1.0, random) < 1.5
 
 
-def test_engines_that_only_generate_are_learned_from_their_first_events():
-    """No engine reads apart, so that no reading is ever seen by itself."""
+def test_decode_engines_are_learned_from_first_events():
+    """Without prefill engines, no prefill is ever measured on its own."""
     random = Random(7)
     models, engine = EngineModels(), make_engine(stage=Stage.DECODE)
     for _ in range(60):
@@ -144,25 +144,25 @@
     assert 0.7 < measure_error(models, engine, 3.0, random) / 2 < 1.4
 
 
-def test_a_change_of_the_configuration_leaves_what_peers_told():
-    """Prompts are misplaced after each change of a route for some seconds.
+def test_configuration_changes_keep_adopted_speeds():
+    """Guards against misplaced prompts for some seconds after each change of a route.
 
-    Each configuration tells of the engines again. For a gateway that had just started
-    from its peers' speeds, the priors went in their place, with their weight.
+    Each configuration sets the traits of the engines again. In a gateway that had just
+    started with its peers' coefficients, the priors replaced them, with their weight.
     """
     random = Random(8)
     known, new, engine = EngineModels(), EngineModels(), make_engine()
-    teach(known, engine, 5.0, 60, random)
+    train(known, engine, 5.0, 60, random)
     new.set_traits("llm", 13, 4e-7)
     new.adopt_speeds(known.export_speeds(), NOW)
     new.set_traits("llm", 13, 4e-7)
     assert 0.75 < measure_error(new, engine, 5.0, random) < 1.5
 
 
-def test_a_queue_that_nobody_knew_of_is_not_taken_for_slow_engines():
-    """Guards against a burst after which prompts are refused at idle engines.
+def test_unknown_queues_are_not_learned_as_slow_engines():
+    """Guards against refusals at idle engines after a burst.
 
-    For a second each reading waits for others, and takes four times as long as
+    For a second, each prefill waits for others and takes four times as long as
     expected, behind a known wait of twice its own time.
     """
     models = EngineModels()
@@ -178,11 +178,11 @@
     assert models.count_samples("llm") >= 20
 
 
-def test_a_model_that_takes_reading_for_nothing_is_put_right_by_prompts_read_alone():
-    """Guards against a start in a burst after which no engine reads for others.
+def test_combined_measurements_correct_a_prefill_time_of_zero():
+    """Guards against prefill engines that get no work after a start during a burst.
 
-    Short prompts waited for long ones that were under way, so that all readings seemed
-    to take the same time.
+    Short prompts waited for long ones in progress, so that all prefills seemed to take
+    the same time.
     """
     models = EngineModels()
     reader = UpstreamRecord("p", "llm", "10.0.0.1:80", "a", 64, False, Stage.PREFILL)
@@ -197,13 +197,13 @@
 
 
 @pytest.mark.parametrize("share", [0.7, 0.85, 1.0, 1.3])
-def test_speeds_hold_in_a_queue_that_is_shorter_or_longer_than_thought(share):
-    """Guards against a burst after which reading is taken to need no time at all.
+def test_speeds_are_stable_when_queue_estimates_are_wrong(share):
+    """Guards against a model that predicts no time for prefill after a burst.
 
-    Each prompt waits for others, for that `share` of the time that was expected.
+    Each prompt waits for others, for `share` times the expected wait.
     """
     models, engine = EngineModels(), make_engine()
-    teach(models, engine, 1.0, 60, Random(7))
+    train(models, engine, 1.0, 60, Random(7))
     prefill = Prefill(2_900, 6_300)
     truth = time_prefill(prefill, 1.0)
     for _ in range(200):
@@ -216,11 +216,11 @@
 
 
 @pytest.mark.parametrize("share", [0.7, 0.85, 1.0, 1.3])
-def test_speeds_hold_where_one_engine_reads_and_generates_behind_others(share):
-    """Guards against engines that generate getting all prompts, as if unread ones."""
+def test_combined_speeds_are_stable_when_queue_estimates_are_wrong(share):
+    """Guards against sending all prompts to decode engines, as if prefill were free."""
     models = EngineModels()
     reader, decoder = make_engine(), make_engine("d1", Stage.DECODE)
-    teach(models, reader, 1.0, 60, Random(7))
+    train(models, reader, 1.0, 60, Random(7))
     prefill = Prefill(2_900, 6_300)
     truth = 2 * time_prefill(prefill, 1.0)
     for _ in range(200):
--- a/packages/mustardquay/tests/test_generation_limits.py
+++ b/packages/mustardquay/tests/test_generation_limits.py
@@ -20,9 +20,9 @@
 
 
 MARGIN = timedelta(milliseconds=30)
-"""Time that answers take beside what was expected."""
+"""Learned difference between expected and measured latency."""
 VERDICT, DRAFT = 0.3, 4.4
-"""Seconds of their streams."""
+"""Stream durations in seconds."""
 
 
 def make_placement(wait, read=0.02, occupancy=0.1, stream=0.3):
@@ -44,11 +44,12 @@
     return admits_generation(ROUTE, placement, time_left, MARGIN)
 
 
-def test_callers_get_answers_in_time_while_more_is_asked_than_can_be_read():
-    """In a burst every answer is late, and late ones are worth a third.
+def test_admitted_requests_are_in_time_under_overload():
+    """Guards against a burst in which every answer is late, which is worth a third.
 
-    Prompts for 1.5 s come in each second. Without a bound the queue grows until all
-    wait for longer than the target; with it, those that are accepted are in time.
+    Each second, prompts for 1.5 s of prefill arrive. Without a bound, the queue grows
+    until all requests wait for longer than the target; with it, all accepted ones are
+    in time.
     """
     queue, in_time, late = 0.0, 0, 0
     for _ in range(1_000):
@@ -71,7 +72,7 @@
         assert small == large
 
 
-def test_those_refused_together_come_back_apart_and_in_time():
+def test_retry_delays_are_spread():
     random = Random(5)
     left = timedelta(seconds=1.9)
     returns = [draw_retry_delay(make_placement(0.2), left, random) for _ in range(200)]
@@ -80,18 +81,18 @@
     assert max(returns) - min(returns) > timedelta(milliseconds=300)
 
 
-def test_what_is_read_in_a_moment_is_not_refused_for_a_short_wait():
-    """A draft is refused although there are 15 s for it and it takes 2 ms to read."""
+def test_light_prefills_may_wait_longer():
+    """Guards against refusing a draft with 15 s left and a prefill of 2 ms."""
     placement = make_placement(0.4, read=0.002)
     assert admits(placement, 15 * SECOND)
     assert not admits(make_placement(0.4), 15 * SECOND)
     assert not admits(placement)
 
 
-def test_a_caller_who_comes_back_is_not_refused_for_a_wait_that_it_can_bear():
-    """A caller is refused, comes back when it was told, and is refused again.
+def test_retries_are_admitted_while_their_time_suffices():
+    """Guards against refusing a retry at the time given for it.
 
-    Nobody else gains by it: its time would do for the answer.
+    The refusal benefits no other request: the time left is sufficient for the answer.
     """
     late = make_placement(0.5)
     left = 0.6 * ROUTE.timeout
@@ -103,11 +104,11 @@
     assert not admits_late(ROUTE, make_placement(0.0, occupancy=1.7), left)
 
 
-def test_long_answers_leave_places_for_short_ones_when_few_engines_are_left():
-    """Nobody gets a verdict for seven seconds after two engines were lost.
+def test_long_answers_leave_slots_for_short_ones():
+    """Guards against no verdicts for seven seconds after the loss of two engines.
 
-    One engine is left to generate. Drafts hold its places for seconds, prompts that
-    had been read wait for one until their deadline, and their reading was in vain.
+    One decode engine is left. Drafts occupy its slots for seconds, and short requests
+    with a finished prefill wait for a slot until their deadline.
     """
     lengths = {DRAFT: 300, VERDICT: 6}
     ends: list[tuple[int, float]] = []
@@ -126,14 +127,14 @@
     assert served[DRAFT] < 400
 
 
-def test_a_full_engine_gets_nothing_more():
+def test_full_engines_get_no_requests():
     assert not admits(make_placement(0.0, occupancy=1.7))
     assert admits(make_placement(0.0, occupancy=1.5))
     assert not admits(make_placement(0.0, occupancy=1.3, stream=DRAFT))
 
 
-def test_a_turn_that_comes_too_late_is_refused_for_all_alike():
-    """Guards against drafts that take each turn at an engine before it is free."""
+def test_long_limit_waits_are_refused_for_all_requests():
+    """Guards against drafts that reserve all of an engine's rate limit in advance."""
     soon = replace(make_placement(0.0, read=0.002), decoder_limit_wait=0.1)
     late = replace(make_placement(0.0, read=0.002), decoder_limit_wait=0.5)
     assert admits_rate_limit_wait(ROUTE, soon)
@@ -143,14 +144,14 @@
         assert not admits_late(ROUTE, late, 0.6 * time_left)
 
 
-def test_a_turn_that_comes_while_the_prompt_is_read_delays_nothing():
-    """Guards against refusals for a wait that nobody has."""
+def test_limit_waits_during_the_prefill_cause_no_delay():
+    """Guards against refusals for a rate limit wait that ends during the prefill."""
     placement = replace(make_placement(0.1, read=0.2), decoder_limit_wait=0.25)
     assert placement.limit_wait_seconds == 0.0
     assert replace(placement, reader_limit_wait=0.08).limit_wait_seconds == 0.0
 
 
-def test_who_is_refused_for_a_limit_is_told_when_it_has_room():
-    """Guards against callers who come back to be refused again."""
+def test_retry_delay_includes_the_limit_wait():
+    """Guards against retries that are refused again."""
     placement = replace(make_placement(0.0), decoder_limit_wait=1.5)
     assert draw_retry_delay(placement, 2 * SECOND, Random(1)) >= 0.7 * SECOND
--- a/packages/mustardquay/tests/test_peer_availability.py
+++ b/packages/mustardquay/tests/test_peer_availability.py
@@ -1,4 +1,4 @@
-"""Which gateways take callers while some of them stop."""
+"""Which gateways serve callers while some of them are stopping."""
 
 from datetime import timedelta
 
@@ -28,36 +28,37 @@
     return PeerDigest("g2", 1, number, 1, availability_zone="a", **changes)
 
 
-def test_a_gateway_is_ready_leaving_or_away():
-    book = PeerAvailability()
-    book.apply_digest(digest(1), SECOND)
+def test_states_of_a_gateway():
+    peers = PeerAvailability()
+    peers.apply_digest(digest(1), SECOND)
     probed_at = SECOND + PROBE_INTERVAL
-    assert book.list_members(SECOND) == [Member("g2", "a", AWAY, probed_at)]
-    book.apply_digest(digest(2), probed_at)
-    assert book.list_members(probed_at) == [Member("g2", "a", READY, probed_at)]
-    book.apply_digest(digest(3, is_ready=False, ends_in=3 * SECOND), probed_at)
+    assert peers.list_members(SECOND) == [Member("g2", "a", AWAY, probed_at)]
+    peers.apply_digest(digest(2), probed_at)
+    assert peers.list_members(probed_at) == [Member("g2", "a", READY, probed_at)]
+    peers.apply_digest(digest(3, is_ready=False, ends_in=3 * SECOND), probed_at)
     ends_at = probed_at + 3 * SECOND
-    assert book.list_members(probed_at) == [Member("g2", "a", LEAVING, ends_at)]
+    assert peers.list_members(probed_at) == [Member("g2", "a", LEAVING, ends_at)]
     silent = probed_at + 1.5 * DIGEST_LIFETIME
     back_at = probed_at + RESTART_TIME
-    assert book.list_members(silent) == [Member("g2", "a", AWAY, back_at)]
+    assert peers.list_members(silent) == [Member("g2", "a", AWAY, back_at)]
     late = probed_at + MEMBER_LIFETIME
-    assert book.list_members(late)[0].changes_at == late + MIN_RESTART_TIME
-    assert book.list_members(late + SECOND) == []
+    assert peers.list_members(late)[0].changes_at == late + MIN_RESTART_TIME
+    assert peers.list_members(late + SECOND) == []
 
 
-def test_a_digest_that_was_overtaken_changes_nothing():
-    book = PeerAvailability()
-    book.apply_digest(digest(2, ends_in=3 * SECOND), SECOND)
-    book.apply_digest(digest(1), SECOND)
-    assert book.list_members(SECOND)[0].state is LEAVING
+def test_digests_out_of_order_are_dropped():
+    peers = PeerAvailability()
+    peers.apply_digest(digest(2, ends_in=3 * SECOND), SECOND)
+    peers.apply_digest(digest(1), SECOND)
+    assert peers.list_members(SECOND)[0].state is LEAVING
 
 
-def test_fewer_than_half_of_a_zone_need_those_that_stop():
-    """One gateway in ten requests of a zone got no connection.
+def test_unready_gateways_are_routed_below_half_of_a_zone():
+    """Guards against failed connections for one in ten requests of a zone.
 
-    Two of three gateways of a zone stopped, so that the balancer asked all of it; the
-    two had closed their doors 2.6 s into their stops.
+    Two of three gateways of a zone were stopping, so that the load balancer sent
+    callers to all of them; the two had stopped listening 2.6 s after the begin of their
+    stops.
     """
     assert is_still_routed("a", [member("g2"), member("g3", LEAVING)])
     assert not is_still_routed("a", [member("g2"), member("g3")])
@@ -72,10 +73,10 @@
     assert is_still_routed("a", [])
 
 
-def test_gateways_that_are_needed_end_early_one_at_a_time():
-    """All gateways of a site are away at the same time, as all were told to stop.
+def test_routed_gateways_stop_early_one_at_a_time():
+    """Guards against a simultaneous outage of all gateways that are stopped together.
 
-    They had nothing to wait for, and each ended as if it were the only one.
+    None of them had requests left, and each ended as if it were the only one.
     """
     others = [member("g2", LEAVING, 5), member("g3", LEAVING, 6)]
     assert may_stop_early("g1", others)
@@ -85,7 +86,7 @@
     assert may_stop_early("g1", [])
 
 
-def test_refused_callers_come_back_when_somebody_is_there():
+def test_retry_delay_ends_when_a_gateway_is_ready():
     now, end = 10 * SECOND, 12 * SECOND
     assert find_retry_delay([member("g2")], end, SECOND, now) == timedelta()
     leaving = [member("g2", LEAVING, 16)]
--- a/packages/mustardquay/tests/test_placements.py
+++ b/packages/mustardquay/tests/test_placements.py
@@ -32,7 +32,7 @@
 
 
 def make_models(slower=1.0):
-    """Return the models of engines so many times slower than some that are known."""
+    """Return models of engines that are `slower` times slower than a known type."""
     models = EngineModels()
     read = (0.003, 4.24e-6 * slower, 1.38e-10 * slower, 1e-7)
     first = (0.005 + 0.033 * slower, 0.0003 * slower)
@@ -42,7 +42,7 @@
     return models
 
 
-def make_books(slower=1.0):
+def make_states(slower=1.0):
     states = EngineStates(
         UpstreamLoads(), OutstandingWork(), PrefixCaches(), make_models(slower)
     )
@@ -55,13 +55,13 @@
     return choose_engines(prompt, parts, engines, states, NOW, avoid)
 
 
-def test_a_long_prompt_is_read_where_nobody_generates():
-    """Drafts that are being written stand still for a quarter of a second.
+def test_long_prompts_use_prefill_engines():
+    """Guards against running streams that stall for a quarter of a second.
 
-    A long prompt is read in pieces between their steps, and each step takes 5 ms in
-    place of 1.
+    A long prompt on a decode engine is prefilled in chunks between decode steps, so
+    that each step takes 5 ms instead of 1.
     """
-    states = make_books()
+    states = make_states()
     for engine in ("e4", "e5"):
         states.works.get(engine).running = 20
     placement = place(LONG, make_engines(4, 2), states)
@@ -74,21 +74,22 @@
     assert place(LONG, make_engines(4, 2), states).prefiller is not None
 
 
-def test_an_engine_without_streams_reads_what_it_will_generate():
-    """Prompts wait in a queue while an engine that generates has nothing to do."""
-    states = make_books()
+def test_idle_decode_engines_prefill():
+    """Guards against prompts that queue while a decode engine is idle."""
+    states = make_states()
     for engine in ("e0", "e1", "e2", "e3"):
         states.works.get(engine).seconds[0] = 0.5
     placement = place(LONG, make_engines(4, 2), states)
     assert placement.prefiller is None
 
 
-def test_streams_may_wait_for_as_long_as_their_route_allows():
-    """Callers are refused although an engine with few streams could read for them.
+def test_prefill_beside_streams_follows_the_longest_pause():
+    """Guards against refusals while an engine with few streams has prefill capacity.
 
-    How long reading may take beside streams was stated for engines of one speed.
+    The limit on prefill beside streams was a constant measured for engines of one
+    speed.
     """
-    states = make_books(slower=5)
+    states = make_states(slower=5)
     states.works.get("e4").running = 1
     for engine in ("e0", "e1", "e2", "e3"):
         states.works.get(engine).seconds[0] = 1.5
@@ -99,7 +100,7 @@
 
 def test_a_short_prompt_does_not_queue_behind_long_ones():
     for slower in (0.2, 1, 5):
-        states = make_books(slower)
+        states = make_states(slower)
         for engine in ("e0", "e1", "e2", "e3"):
             states.works.get(engine).seconds[0] = 0.2 * slower
         states.works.get("e4").running = states.works.get("e5").running = 5
@@ -107,13 +108,13 @@
         assert placement.prefiller is None
 
 
-def test_without_engines_that_read_the_others_do():
-    assert place(LONG, make_engines(0, 2), make_books()).prefiller is None
-    assert place(LONG, make_engines(3, 0), make_books()) is None
+def test_decode_engines_prefill_without_prefill_engines():
+    assert place(LONG, make_engines(0, 2), make_states()).prefiller is None
+    assert place(LONG, make_engines(3, 0), make_states()) is None
 
 
-def test_an_engine_that_holds_the_shared_parts_is_chosen():
-    states = make_books()
+def test_cached_prefixes_are_preferred():
+    states = make_states()
     engines = make_engines(4, 2)
     states.prefixes.note("e2", Stage.PREFILL, hash_parts(LONG.shared_parts))
     placement = place(LONG, engines, states)
@@ -122,8 +123,8 @@
     assert placement.prefill_seconds < 0.02
 
 
-def test_a_busy_holder_gives_its_parts_to_an_idle_engine():
-    states = make_books()
+def test_an_idle_engine_copies_from_a_busy_holder():
+    states = make_states()
     engines = make_engines(4, 2)
     states.prefixes.note("e2", Stage.PREFILL, hash_parts(LONG.shared_parts))
     states.works.get("e2").seconds[0] = 0.3
@@ -134,16 +135,16 @@
 
 
 def test_the_work_of_other_gateways_counts():
-    states = make_books()
+    states = make_states()
     engines = make_engines(2, 1)
     digest = PeerDigest("g2", 1, 1, 1, (EngineDigest("e0", (0.4,), 3),))
     states.works.peers.apply_digest(digest, NOW)
     assert {place(LONG, engines, states).reader.id for _ in range(5)} == {"e1"}
 
 
-def test_a_late_prompt_waits_behind_all_others_and_they_not_for_it():
-    """Callers are refused for the sake of prompts that are read behind theirs."""
-    states = make_books()
+def test_late_prompts_wait_and_delay_no_others():
+    """Guards against refusals of requests that precede the outstanding prompts."""
+    states = make_states()
     engines = make_engines(1, 1)
     states.works.get("e1").running = 60
     states.works.get("e0").seconds[7] = 0.5
@@ -155,40 +156,40 @@
     assert waits == [0.0, 0.0, 0.5, 0.5]
 
 
-def test_an_urgent_prompt_goes_where_it_delays_nobody():
-    """Long prompts come late although another engine has nothing to do.
+def test_urgent_prompts_avoid_busy_engines():
+    """Guards against late long prompts while another engine is idle.
 
-    Engines read urgent prompts first, so that for these a busy engine looked idle.
+    Engines process urgent prompts first, so that a busy engine seemed idle to these.
     """
-    states = make_books()
+    states = make_states()
     engines = make_engines(2, 1)
     states.works.get("e2").running = 60
     states.works.get("e0").seconds[2] = 0.5
     assert place(LONG, engines, states).reader.id == "e1"
 
 
-def test_gateways_that_know_nothing_choose_alike():
+def test_gateways_without_state_choose_the_same_engine():
     engines = make_engines(4, 2)
-    chosen = {place(LONG, engines, make_books()).reader.id for _ in range(4)}
+    chosen = {place(LONG, engines, make_states()).reader.id for _ in range(4)}
     assert len(chosen) == 1
 
 
-def test_the_least_recently_used_parts_are_forgotten():
-    book = PrefixCaches(capacity=10_000)
+def test_the_least_recently_used_parts_are_evicted():
+    caches = PrefixCaches(capacity=10_000)
     first, second, third = (((n, 4_000),) for n in range(3))
     for part in (first, second, first, third):
-        book.note("e0", Stage.PREFILL, part)
-    assert book.count_cached("e0", first) == 4_000
-    assert book.count_cached("e0", second) == 0
+        caches.note("e0", Stage.PREFILL, part)
+    assert caches.count_cached("e0", first) == 4_000
+    assert caches.count_cached("e0", second) == 0
 
 
-def test_nobody_waits_for_an_engine_that_has_been_out_of_reach_for_long():
-    """Callers wait for a connection in vain before they are refused.
+def test_lost_engines_are_not_chosen():
+    """Guards against callers who wait for a connection that fails before a refusal.
 
-    The only engine that generates is lost. One request in 0.7 s tries it; the others
-    are told at once.
+    The only decode engine is lost. One request in 0.7 s probes it; the others are
+    refused at once.
     """
-    states = make_books()
+    states = make_states()
     engines = make_engines(4, 1)
     states.loads.note_unreachable("e4", NOW - timedelta(seconds=2))
     assert place(LONG, engines, states) is not None
@@ -197,13 +198,13 @@
 
 
 def limit(states, engine, per_second):
-    """Have an engine name a limit, of which the next turn is as far as can be."""
+    """Have an engine announce a limit and delay the next request by the maximum."""
     states.limits.hear(engine, per_second, NOW)
 
 
-def test_what_an_engine_in_need_does_not_take_goes_to_another():
-    """Guards against refusals while another engine that generates has room."""
-    states = make_books()
+def test_rate_limited_engines_are_avoided():
+    """Guards against refusals while another decode engine has capacity."""
+    states = make_states()
     limit(states, "e4", 2.0)
     for engine in ("e4", "e5"):
         states.works.get(engine).running = 20
@@ -212,18 +213,18 @@
     assert (placement.decoder.id, placement.limit_wait_seconds) == ("e5", 0.0)
 
 
-def test_an_engine_in_need_is_used_when_its_turn_is_sooner_than_another_queue():
-    """Guards against an engine at its limit that is treated like one that failed."""
-    states = make_books()
+def test_a_short_limit_wait_is_preferred_to_a_long_queue():
+    """Guards against treating an engine at its rate limit like one that failed."""
+    states = make_states()
     limit(states, "e4", 20.0)
     states.works.get("e5").seconds[0] = 2.0
     placement = place(LONG, make_engines(4, 2), states)
     assert placement.decoder.id == "e4"
 
 
-def test_a_limit_of_all_that_generate_shows_as_a_turn_to_wait_for():
-    """Guards against an answer that is promised in time and comes seconds late."""
-    states = make_books()
+def test_limits_of_all_decode_engines_delay_the_placement():
+    """Guards against admitting a request as in time whose answer is seconds late."""
+    states = make_states()
     for engine in ("e4", "e5"):
         limit(states, engine, 0.5)
     placement = place(LONG, make_engines(4, 2), states)
--- a/packages/mustardquay/tests/test_predictions.py
+++ b/packages/mustardquay/tests/test_predictions.py
@@ -1,4 +1,4 @@
-"""Predictions, the cache index, routes and role plans: sane whatever they are fed."""
+"""Predictions, cache index, routing and role plans handle any input."""
 
 from datetime import timedelta
 from random import Random
@@ -47,7 +47,7 @@
 
 @CHECK
 @given(st.lists(st.integers(-5, 200_000)), st.integers(0, 50))
-def test_output_lengths_stay_within_what_was_seen(samples, limit):
+def test_output_lengths_stay_within_their_samples(samples, limit):
     lengths = OutputLengths(prior=100, capacity=4)
     for position, sample in enumerate(samples):
         lengths.learn(f"c{position % 7}", "draft", sample)
@@ -67,7 +67,7 @@
 
 @CHECK
 @given(st.lists(st.tuples(st.integers(-9, 10**6), st.integers(-9, 10**6))))
-def test_prompt_lengths_stay_sane(samples):
+def test_prompt_lengths_stay_within_limits(samples):
     lengths = PromptLengths()
     for size, tokens in samples:
         lengths.learn("m", size, tokens)
@@ -85,7 +85,7 @@
     assert rates.slowness("e") >= 1.0
 
 
-def test_a_slow_engine_is_found_and_forgiven():
+def test_a_slow_engine_is_detected_and_recovers():
     rates = RateEstimator()
 
     def report(rate):
@@ -101,7 +101,7 @@
 
 @CHECK
 @given(st.floats(0, 100), st.floats(0, 100))
-def test_an_older_report_says_less(earlier, later):
+def test_older_reports_contain_less_queued_work(earlier, later):
     view = make_view(0, queued_tokens=50_000, own_tokens=7)
     first, second = sorted((earlier, later))
     assert (
@@ -120,7 +120,7 @@
         max_size=200,
     )
 )
-def test_the_index_is_bounded_and_matches_only_runs(events):
+def test_the_index_is_bounded_and_matches_only_prefixes(events):
     index = PrefixIndex(pieces_per_upstream=8, upstreams=3)
     numbers = {}
     for engine, stored, piece, step in events:
@@ -134,11 +134,11 @@
         assert index.match(f"e{engine}", [999, *range(40)]) == 0
 
 
-def test_a_gap_makes_an_index_doubtful_until_it_is_confirmed():
-    """Prompts go to an engine that no longer has their prefix, and come late.
+def test_a_gap_reduces_confidence_until_pieces_are_confirmed():
+    """Guards against late prompts sent to an engine that has evicted their prefix.
 
-    The engine evicted the piece; that event was lost, and the entry knows no better
-    until the piece is seen again or named as evicted.
+    The event of the eviction was lost, and the entry's index keeps the piece until
+    another event stores or evicts it.
     """
     index = PrefixIndex()
     index.apply("e", 1, [CacheEvent(1, True, 7)])
@@ -152,30 +152,30 @@
 
 
 class CountingIndex(PrefixIndex):
-    """Counts the upstreams that are weighed."""
+    """Counts the upstreams that are compared."""
 
-    weighed = 0
+    compared = 0
 
     def expected_tokens(self, upstream, prefix):
-        self.weighed += 1
+        self.compared += 1
         return super().expected_tokens(upstream, prefix)
 
 
 @CHECK
 @given(st.integers(9, 600), st.integers(0, 99))
-def test_few_of_many_upstreams_are_weighed(count, seed):
+def test_few_of_many_upstreams_are_compared(count, seed):
     views = [make_view(number) for number in range(count)]
     index = CountingIndex()
     for view in views[:20]:
         index.note_sent(view.name, [1, 2])
     work = make_work(prefix=(1, 2))
     assert choose_upstream(work, views, span(0), Random(seed), index=index)
-    assert index.weighed <= 9
+    assert index.compared <= 9
 
 
 @CHECK
 @given(st.lists(st.tuples(st.booleans(), st.booleans(), st.booleans()), max_size=30))
-def test_an_upstream_that_may_not_run_it_is_never_chosen(states):
+def test_unusable_upstreams_are_never_chosen(states):
     views = [
         make_view(number, draining=draining, ready=ready)
         for number, (draining, ready, _) in enumerate(states)
@@ -200,7 +200,7 @@
 
 
 def plan_for(works, seconds, views, price=2.0):
-    """Feed a planner a constant demand; return its changes, which take effect."""
+    """Run a planner with a given demand; return its changes, which take effect."""
     planner = RolePlanner(RoleSettings(RATES, change_price=price))
     changes = []
     for second in range(seconds):
@@ -216,7 +216,7 @@
 
 @settings(CHECK, max_examples=15)
 @given(st.integers(0, 10**6), st.integers(0, 40), st.integers(0, 40))
-def test_role_plans_dwell_and_keep_an_engine_for_streams(seed, reads, drafts):
+def test_role_plans_keep_roles_and_an_engine_for_streams(seed, reads, drafts):
     random = Random(seed)
     views = [make_view(number) for number in range(6)]
 
@@ -233,11 +233,11 @@
     assert any(view.role is not Role.PREFILL for view in views)
 
 
-def test_no_change_while_an_engine_is_away():
-    """Hosts meet refusals while two of six engines are away at once.
+def test_no_change_while_an_engine_is_unavailable():
+    """Guards against refusals while two of six engines are unavailable at once.
 
-    One engine is drained for a replacement when the demand shifts, and the plan takes
-    a second one for its change of role.
+    One engine is draining for its replacement when the demand shifts, and the planner
+    takes a second one for a change of its role.
     """
     views = [make_view(number) for number in range(6)]
     views[3].draining = True
--- a/packages/mustardquay/tests/test_retained_prefills.py
+++ b/packages/mustardquay/tests/test_retained_prefills.py
@@ -32,7 +32,7 @@
 
 @pytest.fixture
 def states():
-    """What is known after the reader has read the prompt."""
+    """Return the state after the reader has prefilled the prompt."""
     states = EngineStates(
         UpstreamLoads(), OutstandingWork(), PrefixCaches(), EngineModels()
     )
@@ -40,47 +40,47 @@
     return states
 
 
-def judge(states, engines=ENGINES, is_copied=True, avoid=("d-1",), now=NOW):
+def find_loss(states, engines=ENGINES, is_copied=True, avoid=("d-1",), now=NOW):
     return find_prefill_loss(READER, PARTS, is_copied, engines, states, now, avoid)
 
 
-def test_another_engine_generates_from_a_reading(states):
-    assert judge(states) is None
+def test_another_engine_can_use_a_prefill(states):
+    assert find_loss(states) is None
 
 
-def test_a_reader_that_is_not_listed_can_not_be_copied_from(states):
-    assert judge(states, ENGINES[1:]) is PrefillLoss.READER_GONE
+def test_an_unlisted_reader_can_not_be_copied_from(states):
+    assert find_loss(states, ENGINES[1:]) is PrefillLoss.READER_GONE
 
 
-def test_nobody_generates_once_all_engines_have_been_tried(states):
-    assert judge(states, avoid=("d-1", "d-2")) is PrefillLoss.NO_GENERATOR
+def test_no_decode_engine_is_left(states):
+    assert find_loss(states, avoid=("d-1", "d-2")) is PrefillLoss.NO_GENERATOR
 
 
-def test_a_prompt_that_its_reader_gave_up_is_not_copied(states):
-    """Guards against engines that read a whole prompt between their streams' steps."""
+def test_an_evicted_prompt_is_not_copied(states):
+    """Guards against prefill of a whole prompt between the steps of a decode engine."""
     own = hash_parts([PromptPart("other", 370_000)])
     states.prefixes.note(READER.id, READER.stage, own)
-    assert judge(states) is PrefillLoss.DISPLACED
-    assert judge(states, is_copied=False) is None
+    assert find_loss(states) is PrefillLoss.DISPLACED
+    assert find_loss(states, is_copied=False) is None
 
 
-def test_a_reader_out_of_reach_for_long_is_not_copied_from(states):
-    """Guards against copies that wait for an engine that has gone dark."""
+def test_a_lost_reader_is_not_copied_from(states):
+    """Guards against copies that wait for an unreachable engine."""
     states.loads.note_unreachable(READER.id, NOW)
-    assert judge(states, now=NOW + LOST_TIME) is PrefillLoss.READER_LOST
+    assert find_loss(states, now=NOW + LOST_TIME) is PrefillLoss.READER_LOST
     states.loads.note_reached(READER.id, NOW)
-    assert judge(states, now=NOW + LOST_TIME) is None
+    assert find_loss(states, now=NOW + LOST_TIME) is None
 
 
-def test_a_reader_is_copied_from_though_one_connection_to_it_failed(states):
-    """Guards against readings dropped by a gateway that is itself hard to reach."""
+def test_one_failed_connection_keeps_the_prefill(states):
+    """Guards against discarding prefills in a gateway that is itself hard to reach."""
     for _ in range(MIN_EJECTION_SENDS):
         states.loads.end(READER.id, True, NOW)
     states.loads.note_unreachable(READER.id, NOW)
-    assert judge(states) is None
+    assert find_loss(states) is None
 
 
-def test_a_reader_that_refuses_new_work_is_still_copied_from(states):
-    """Guards against readings done twice while their readers are full."""
+def test_a_refusing_reader_is_still_copied_from(states):
+    """Guards against repeated prefills while the engines that did them are full."""
     states.loads.note_refusal(READER.id, NOW)
-    assert judge(states) is None
+    assert find_loss(states) is None
--- a/packages/mustardquay/tests/test_stage_plans.py
+++ b/packages/mustardquay/tests/test_stage_plans.py
@@ -18,36 +18,37 @@
     return planner.plan("llm", engines, ordered or {}, streams, now, is_settled)
 
 
-def test_before_callers_come_the_surplus_is_changed_at_once():
+def test_a_surplus_is_changed_at_once_before_callers_arrive():
     changes = plan(StagePlanner(), make_engines(2, 4), is_settled=False)
     assert [change.stage for change in changes] == [Stage.PREFILL] * 2
 
 
-def test_two_engines_generate_so_that_one_may_be_lost():
+def test_at_least_two_engines_decode():
     assert count_decoders(6, 0, 26) == 2
     assert count_decoders(4, 500, 26) == 2
     assert count_decoders(24, 130, 26) == 5
 
 
-def test_a_large_fleet_begins_its_day_with_enough_engines_that_generate():
-    """Callers with short prompts are refused in the first ten seconds of a day.
+def test_a_large_fleet_starts_with_enough_decode_engines():
+    """Guards against refusals of short prompts in the first ten seconds of a day.
 
-    Before they come, the holder of the lease leaves two of 24 engines to generate. One
-    of them crashes, and a change takes each other engine away for three seconds.
+    Before callers arrive, the lease holder left two of 24 engines to decode. One of
+    them crashed, and a change of stage makes each other engine unavailable for three
+    seconds.
     """
     engines = make_engines(0, 24)
     changes = plan(StagePlanner(), engines, streams=0, is_settled=False)
     assert len(engines) - len(changes) == 5
 
 
-def test_no_long_prompt_is_left_without_a_generator_for_long():
-    """No caller gets an answer although four engines are idle.
+def test_a_lost_decode_engine_is_replaced():
+    """Guards against no answers at all while four engines are idle.
 
-    The only engine that generates is lost. Nothing is gained by waiting.
+    The only decode engine is lost, so that a delay has no advantage.
     """
     planner = StagePlanner()
     assert plan(planner, make_engines(4, 0))
-    # One of two lost: it may be back before a change is carried out.
+    # One of two is lost: it may recover before a change is carried out.
     assert plan(planner, make_engines(4, 1)) == []
     later = NOW + DECODER_DELAY
     assert len(plan(planner, make_engines(4, 1), now=later)) == 1
@@ -57,19 +58,19 @@
     return UpstreamRecord("new", "llm", "10.0.0.9:80", "a", 64, False, stage)
 
 
-def test_a_newcomer_that_is_one_too_many_changes_before_it_has_work():
-    """Guards against a change in the rush that follows, seconds after its reason."""
+def test_a_surplus_new_engine_is_changed_at_once():
+    """Guards against a change seconds after its cause, in the burst that follows."""
     planner = StagePlanner()
     engines = make_engines(4, 2)
     assert plan(planner, engines) == []
-    # One that reads is replaced, and the new one generates, as all that start.
+    # A prefill engine is replaced; the new one decodes, as all do after a start.
     engines = [*engines[1:], make_new_engine()]
     [change] = plan(planner, engines, now=NOW + timedelta(seconds=1))
     assert (change.engine.id, change.stage) == ("new", Stage.PREFILL)
 
 
-def test_a_newcomer_stays_until_the_engine_that_stood_in_has_changed():
-    """Guards against one engine that generates alone while two are on their way."""
+def test_a_new_engine_is_kept_until_its_substitute_has_changed():
+    """Guards against a single decode engine while the stages of two are changing."""
     planner = StagePlanner()
     engines = make_engines(4, 2)
     assert plan(planner, engines) == []
@@ -83,16 +84,16 @@
     assert change.engine.id == "new"
 
 
-def test_engines_that_a_gateway_finds_at_its_start_are_no_newcomers():
-    """Guards against engines that change for each gateway that starts."""
+def test_engines_in_the_first_list_are_not_new():
+    """Guards against engines that change their stage whenever a gateway starts."""
     planner = StagePlanner()
     for second in range(3):
         now = NOW + timedelta(seconds=second)
         assert plan(planner, make_engines(3, 3), now=now) == []
 
 
-def test_engines_that_are_listed_before_callers_come_are_no_newcomers():
-    """Guards against generators of one zone, chosen by which record came first."""
+def test_engines_listed_before_callers_arrive_are_not_new():
+    """Guards against decode engines in one zone, chosen by the order of records."""
     planner = StagePlanner()
     engines = make_engines(0, 6)
     plan(planner, engines[::3], is_settled=False)
@@ -103,8 +104,8 @@
     assert len({each.availability_zone for each in left}) == 2
 
 
-def test_an_engine_that_was_missing_from_the_list_for_a_moment_is_no_newcomer():
-    """Guards against a change of an engine whose entry lapsed as the store was away."""
+def test_a_briefly_unlisted_engine_is_not_new():
+    """Guards against changing engines whose records expired in an outage."""
     planner = StagePlanner()
     engines = make_engines(3, 3)
     assert plan(planner, engines) == []
@@ -112,8 +113,8 @@
     assert plan(planner, engines, now=NOW + timedelta(seconds=3)) == []
 
 
-def test_an_engine_that_came_back_from_a_change_is_no_newcomer():
-    """Guards against a number of generators that swings with each burst."""
+def test_a_changed_engine_is_not_new():
+    """Guards against a number of decode engines that oscillates with each burst."""
     planner = StagePlanner()
     assert plan(planner, make_engines(4, 2)) == []
     now = NOW + timedelta(seconds=9)
@@ -126,7 +127,7 @@
     assert plan(planner, make_engines(5, 1), ordered=ordered) == []
 
 
-def test_the_engines_that_go_on_generating_are_in_different_zones():
+def test_remaining_decode_engines_are_in_different_zones():
     engines = make_engines(0, 6)
     changes = plan(StagePlanner(), engines, is_settled=False)
     changed = {change.engine.id for change in changes}
@@ -134,11 +135,11 @@
     assert len({each.availability_zone for each in left}) == 2
 
 
-def test_a_generator_that_left_is_replaced_sooner_than_one_out_of_reach():
-    """Nobody gets an answer for three seconds.
+def test_a_removed_engine_is_replaced_sooner_than_an_unreachable_one():
+    """Guards against three seconds without answers.
 
-    One of two engines that generate leaves, and the other one crashes while the
-    gateways still wait whether the first might come back.
+    One of two decode engines leaves, and the other one crashes while the gateways still
+    wait for the first one to recover.
     """
     soon = NOW + timedelta(milliseconds=500)
     planner = StagePlanner()
@@ -153,11 +154,11 @@
     assert len(planner.plan("llm", engines, {}, 40, later, True, lost={"e5"})) == 1
 
 
-def test_a_large_fleet_follows_a_rise_of_streams_within_two_seconds():
-    """Short prompts wait for places although most engines stand idle.
+def test_a_large_fleet_follows_a_rise_within_two_seconds():
+    """Guards against short prompts that wait for slots while most engines are idle.
 
-    Streams treble within a second and last for five. The mean over three seconds
-    called for more engines when the rise was nearly over.
+    The number of streams triples within a second and stays for five. With a mean over
+    three seconds, more engines were requested when the rise was nearly over.
     """
     planner = StagePlanner()
     engines = make_engines(19, 5)
@@ -174,8 +175,8 @@
     return planner.plan("llm", engines, {}, 40, now, True, capacities=capacities)
 
 
-def test_another_engine_stands_in_for_those_that_take_too_little():
-    """Guards against callers who are refused for as long as engines name limits."""
+def test_another_engine_compensates_for_rate_limits():
+    """Guards against refusals for as long as engines announce rate limits."""
     planner = StagePlanner()
     engines = make_engines(4, 2)
     capacities = {"e4": 0.37, "e5": 0.4}
@@ -183,22 +184,22 @@
     assert plan_limited(planner, engines, capacities) == []
     changes = plan_limited(planner, engines, capacities, later)
     assert [change.stage for change in changes] == [Stage.DECODE]
-    # With the third engine the same limits leave each a larger part of its work.
+    # With a third engine, the same limits allow each a larger part of its work.
     engines = make_engines(3, 3)
     capacities = {"e4": 0.55, "e5": 0.6}
     assert plan_limited(planner, engines, capacities, 2 * later) == []
 
 
-def test_limits_that_leave_most_of_the_work_change_no_engine():
-    """Guards against engines that are away for seconds to gain little."""
+def test_minor_limits_change_no_engine():
+    """Guards against engines that are unavailable for seconds for a small gain."""
     planner = StagePlanner()
     capacities = {"e4": 0.8, "e5": 0.8}
     for now in (NOW, 2 * NOW):
         assert plan_limited(planner, make_engines(4, 2), capacities, now) == []
 
 
-def test_engines_that_read_are_left_however_low_the_limits_are():
-    """Guards against a fleet in which nobody reads prompts."""
+def test_prefill_engines_remain_under_strict_limits():
+    """Guards against a fleet without prefill engines."""
     planner = StagePlanner()
     capacities = {"e1": 0.01, "e2": 0.01}
     for now in (NOW, 2 * NOW):
--- a/packages/mustardquay/tests/test_stall_timeouts.py
+++ b/packages/mustardquay/tests/test_stall_timeouts.py
@@ -14,22 +14,22 @@
     return Placement(ENGINE, ENGINE, None, read, wait, 0.1, 0.1, 1.0, work_seconds=work)
 
 
-def test_a_prompt_that_others_overtake_is_not_taken_from_its_engine():
-    """Callers are refused after two seconds although their prompt was next.
+def test_prefill_timeout_includes_later_urgent_work():
+    """Guards against refusals after two seconds although the prompt was next.
 
-    Prompts of a lower rank wait while more urgent ones come. The gateway knew only
-    of what was before them when they were sent, took the engine for silent, and had
-    the prompt read from the start elsewhere.
+    Prompts of a lower rank wait while more urgent ones arrive. The gateway only
+    considered the work ahead of them when they were sent, timed out and had the prompt
+    prefilled from the start on another engine.
     """
     limit = find_prefill_timeout(ROUTE, make_placement(wait=0.0, work=0.6))
-    # Twice the work at the engine comes before it.
+    # Twice the outstanding work of the engine precedes it.
     assert limit > timedelta(seconds=2 * 0.6 + 0.4)
 
 
-def test_an_engine_without_work_is_left_soon():
+def test_idle_engines_have_a_short_prefill_timeout():
     limit = find_prefill_timeout(ROUTE, make_placement(wait=0.0, work=0.0, read=0.1))
     assert limit == TARGET + timedelta(seconds=0.2)
 
 
-def test_where_streams_may_not_be_resumed_nothing_is_cut():
+def test_non_resumable_streams_have_no_timeout():
     assert find_first_event_timeout(ROUTE, make_placement(0.0, 0.0)) is None
--- a/packages/mustardquay/tests/test_upstream_lists.py
+++ b/packages/mustardquay/tests/test_upstream_lists.py
@@ -21,18 +21,18 @@
     assert upstreams.get("two").draining
 
 
-def test_a_record_that_is_removed_ends_the_work_at_once():
+def test_a_removed_record_removes_its_upstream():
     upstreams = UpstreamList()
     upstreams.replace([make_record("one")], NOW)
     assert upstreams.remove("one", NOW)
     assert upstreams.list_usable("app") == []
 
 
-def test_upstreams_stay_while_they_may_come_back_after_an_outage():
-    """Callers are refused although every upstream serves.
+def test_records_are_kept_after_an_outage():
+    """Guards against refusals although every upstream is serving.
 
-    The store is out of service for some seconds, and the upstreams can't renew their
-    records. When it answers again, the list is empty, and the records are back only
+    During an outage of the store, upstreams can't renew their records for some seconds.
+    When the store recovers, the list is empty, and the records are written again only
     two seconds later.
     """
     upstreams = UpstreamList()
@@ -47,14 +47,14 @@
     assert [each.id for each in upstreams.list_usable("app")] == ["one"]
 
 
-def test_an_upstream_that_was_leaving_gets_no_grace():
+def test_draining_upstreams_get_no_grace():
     upstreams = UpstreamList()
     upstreams.replace([make_record("one", draining=True)], NOW)
     upstreams.begin_grace(NOW)
     assert upstreams.remove("one", NOW)
 
 
-def test_a_list_that_was_never_read_is_not_an_empty_list():
+def test_an_unread_list_is_not_known():
     upstreams = UpstreamList()
     assert not upstreams.is_known
     upstreams.replace([], NOW)
--- a/packages/mustardquay/tests/test_upstream_loads.py
+++ b/packages/mustardquay/tests/test_upstream_loads.py
@@ -15,27 +15,27 @@
     ]
 
 
-def test_an_upstream_that_fails_is_left_alone_and_tried_again():
-    """Every third request fails although two of three upstreams are well.
+def test_a_failing_upstream_is_ejected_and_probed():
+    """Guards against failures of every third request while two of three upstreams work.
 
-    One upstream answers its health checks and fails what it is sent, and the gateway
-    goes on choosing it in turn.
+    One upstream passes its health checks but fails all requests, and the gateway
+    continues to choose it in turn.
     """
     upstreams = make_upstreams("a", "a", "a")
     loads = UpstreamLoads()
     random = Random(1)
-    sick_sends = 0
+    failing_sends = 0
     for step in range(3000):
         now = NOW + timedelta(milliseconds=10 * step)
         chosen = choose_plain(upstreams, loads, now, "a", random)
         loads.begin(chosen.id)
-        is_sick = chosen.id == "u1"
-        sick_sends += is_sick
-        loads.end(chosen.id, is_sick, now)
-    assert 3 <= sick_sends <= 30
+        has_failed = chosen.id == "u1"
+        failing_sends += has_failed
+        loads.end(chosen.id, has_failed, now)
+    assert 3 <= failing_sends <= 30
 
 
-def test_errors_that_all_upstreams_give_eject_nobody():
+def test_errors_common_to_all_upstreams_eject_none():
     upstreams = make_upstreams("a", "a", "a")
     loads = UpstreamLoads()
     random = Random(2)
@@ -46,7 +46,7 @@
         assert not loads.end(chosen.id, random.random() < 0.07, now)
 
 
-def test_the_shortest_queue_wins_and_the_own_zone_goes_first():
+def test_the_shortest_queue_and_the_own_zone_are_preferred():
     upstreams = make_upstreams("a", "b", "b")
     loads = UpstreamLoads()
     random = Random(3)
@@ -59,7 +59,7 @@
     assert choose_plain(upstreams, loads, NOW, "a", random).id in ("u1", "u2")
 
 
-def test_when_all_are_ejected_a_place_is_still_not_refused():
+def test_ejected_upstreams_are_used_when_no_others_are_left():
     upstreams = make_upstreams("a")
     loads = UpstreamLoads()
     loads.note_unreachable("u0", NOW)
@@ -67,11 +67,11 @@
     assert choose_plain(upstreams, loads, NOW, "a", Random(4), ["u0"]) is None
 
 
-def test_an_upstream_that_fails_for_an_hour_can_still_be_chosen():
-    """Requests fail with a fault of the gateway.
+def test_long_failures_do_not_overflow_the_ejection_time():
+    """Guards against an internal error of the gateway.
 
-    An engine is lost for long, each try doubles its pause, and the pause grows past
-    what a duration can hold.
+    An engine is lost for long. Each attempt doubled the ejection time, which overflowed
+    the range of a timedelta.
     """
     loads = UpstreamLoads()
     for step in range(2_000):
@@ -82,7 +82,7 @@
     assert not loads.get("u0").is_ejected(now + timedelta(seconds=5))
 
 
-def test_an_upstream_out_of_reach_counts_as_lost_until_it_answers():
+def test_an_unreachable_upstream_is_lost_until_it_answers():
     loads = UpstreamLoads()
     loads.note_unreachable("u0", NOW)
     assert not loads.is_lost("u0", NOW)
