--- a/packages/mustardquay/src/mustardquay/estimates.py
+++ b/packages/mustardquay/src/mustardquay/estimates.py
@@ -29,7 +29,7 @@
 class _Prefill:
     duration: timedelta
     expected_at: timedelta
-    """When the first token is expected at the reported rate."""
+    """When the first token is expected at the current rate."""
 
 
 class _Margin:
--- a/packages/mustardquay/src/mustardquay/latency_margins.py
+++ b/packages/mustardquay/src/mustardquay/latency_margins.py
@@ -1,9 +1,9 @@
 """Latency margins: the learned difference between expected and measured latency.
 
-In a burst, several processes send to the same engines, and what each of them knows
-about the queues is older than the queues themselves, so that prompts wait longer than
-expected. The observed errors determine how much of the latency target must be reserved
-so that admitted requests are answered in time.
+In a burst, several processes send to the same engines, and the queue lengths available
+to each of them are outdated, so that prompts wait longer than expected. The observed
+errors determine how much of the latency target must be reserved so that admitted
+requests are answered in time.
 """
 
 from dataclasses import dataclass, field
--- a/packages/mustardquay/src/mustardquay/peer_digests.py
+++ b/packages/mustardquay/src/mustardquay/peer_digests.py
@@ -97,7 +97,7 @@
     limits: tuple[LimitNotice, ...] = ()
     """Rate limits that upstreams have announced to the gateway."""
     demands: tuple[ServiceDemand, ...] | None = None
-    """Its callers' demand for each service; None while no limit applies."""
+    """Its callers' demand for each service; None without a known rate limit."""
     ends_in: timedelta | None = None
     """Time until a stopping gateway ends at the latest; None for all others."""
 
