--- a/packages/mustardquay/src/mustardquay/retry_decisions.py
+++ b/packages/mustardquay/src/mustardquay/retry_decisions.py
@@ -9,7 +9,7 @@
 from datetime import timedelta
 from enum import StrEnum
 
-from .requests import SendEnd
+from .requests import SendResult
 from .routing_tables import Repeat, Route
 
 __all__ = ["NextStep", "PrefillState", "SendHistory", "count_repeats", "decide_next"]
@@ -58,11 +58,11 @@
     misdirected: int = 0
     """Sends that reached a different upstream than intended."""
 
-    def note(self, end: SendEnd) -> None:
+    def note(self, end: SendResult) -> None:
         """Record the result of a send."""
-        if end is SendEnd.OTHER_UPSTREAM:
+        if end is SendResult.OTHER_UPSTREAM:
             self.misdirected += 1
-        elif end not in (SendEnd.NOT_SENT, SendEnd.UNREAD):
+        elif end not in (SendResult.NOT_SENT, SendResult.UNREAD):
             self.attempts += 1
         if not end.is_not_run:
             self.may_have_run = True
@@ -74,7 +74,11 @@
 
 
 def decide_next(
-    route: Route, history: SendHistory, end: SendEnd, status: int, time_left: timedelta
+    route: Route,
+    history: SendHistory,
+    end: SendResult,
+    status: int,
+    time_left: timedelta,
 ) -> NextStep:
     """Return what follows a send that is already recorded in `history`.
 
@@ -83,11 +87,11 @@
     >>> from datetime import timedelta as t
     >>> once = Route("r", "h", "/", Repeat.AT_MOST_ONCE, (), t(1), t(1))
     >>> history = SendHistory()
-    >>> history.note(SendEnd.BROKEN)
-    >>> decide_next(once, history, SendEnd.BROKEN, 0, t(seconds=1)).value
+    >>> history.note(SendResult.BROKEN)
+    >>> decide_next(once, history, SendResult.BROKEN, 0, t(seconds=1)).value
     'fail'
     """
-    if end is SendEnd.ANSWERED:
+    if end is SendResult.ANSWERED:
         if not _is_worth_repeating(route, history, status, time_left):
             return NextStep.PASS_ON
         return NextStep.SEND_AGAIN
@@ -102,19 +106,19 @@
     return NextStep.FAIL if history.may_have_run else NextStep.REFUSE
 
 
-def count_repeats(route: Route, end: SendEnd, prefill: PrefillState) -> int:
+def count_repeats(route: Route, end: SendResult, prefill: PrefillState) -> int:
     """Return how many sends a retry takes from the retry allowance.
 
     The first prefill of a prompt and the first send of the request itself are free.
 
     >>> from datetime import timedelta as t
     >>> stream = Route("r", "h", "/", Repeat.STREAM, (), t(1), t(1), has_prompt=True)
-    >>> [count_repeats(stream, SendEnd.BROKEN, each) for each in PrefillState]
+    >>> [count_repeats(stream, SendResult.BROKEN, each) for each in PrefillState]
     [2, 1, 2]
-    >>> [count_repeats(stream, SendEnd.NOT_SENT, each) for each in PrefillState]
+    >>> [count_repeats(stream, SendResult.NOT_SENT, each) for each in PrefillState]
     [0, 0, 1]
     """
-    sends = 0 if end is SendEnd.NOT_SENT else 1
+    sends = 0 if end is SendResult.NOT_SENT else 1
     needs_prefill = route.has_prompt and prefill is not PrefillState.KEPT
     if needs_prefill and (sends or prefill is PrefillState.LOST):
         sends += 1
@@ -128,8 +132,8 @@
     return route.is_repeatable
 
 
-def _has_attempts(route: Route, history: SendHistory, end: SendEnd) -> bool:
-    if end is SendEnd.OTHER_UPSTREAM:
+def _has_attempts(route: Route, history: SendHistory, end: SendResult) -> bool:
+    if end is SendResult.OTHER_UPSTREAM:
         return history.misdirected < MAX_MISDIRECTED
     return history.attempts < route.max_attempts
 
--- a/packages/mustardquay/tests/test_stop_bounds.py
+++ b/packages/mustardquay/tests/test_stop_bounds.py
@@ -2,14 +2,14 @@
 
 from datetime import timedelta
 
-from mustardquay.fleet_books import (
-    MEMORY,
-    FleetBook,
-    find_return,
-    is_needed,
-    is_next_to_end,
+from mustardquay.peer_availability import (
+    MEMBER_LIFETIME,
+    PeerAvailability,
+    find_retry_delay,
+    is_still_routed,
+    may_stop_early,
 )
-from mustardquay.peer_books import DIGEST_LIFETIME, PeerDigest
+from mustardquay.peer_digests import DIGEST_LIFETIME, PeerDigest
 from mustardquay.route_times import MIN_SAMPLES, RouteTimes
 
 SECOND = timedelta(seconds=1)
@@ -18,7 +18,7 @@
 
 def receive(peers, name, now, zone="a", **changes):
     digest = PeerDigest(name, 1, 1, 1, availability_zone=zone, **changes)
-    peers.hear(digest, now)
+    peers.apply_digest(digest, now)
 
 
 def test_two_gateways_that_end_together_do_not_both_end_early():
@@ -31,7 +31,7 @@
     now, way = 3 * SECOND, 2 * MILLISECOND
     for late in range(0, 400):
         shifted = {name: end + late * MILLISECOND for name, end in ends.items()}
-        views = {"g1": FleetBook(), "g2": FleetBook()}
+        views = {"g1": PeerAvailability(), "g2": PeerAvailability()}
         receive(
             views["g1"], "g2", now + way, ends_in=shifted["g2"] - now, is_ready=False
         )
@@ -40,7 +40,7 @@
         )
         later = now + 2 * way
         both = [
-            is_next_to_end(name, peers.list_members(later))
+            may_stop_early(name, peers.list_members(later))
             for name, peers in views.items()
         ]
         assert sum(both) == 1, (late, both)
@@ -52,12 +52,12 @@
     A gateway was silent for longer than a restart usually takes, so that its expected
     return is in the past.
     """
-    peers = FleetBook()
+    peers = PeerAvailability()
     receive(peers, "g2", timedelta())
-    now = MEMORY - SECOND
+    now = MEMBER_LIFETIME - SECOND
     assert now > DIGEST_LIFETIME
     members = peers.list_members(now)
-    assert find_return(members, now + 5 * SECOND, 9 * SECOND, now) > timedelta()
+    assert find_retry_delay(members, now + 5 * SECOND, 9 * SECOND, now) > timedelta()
 
 
 def test_a_long_generation_is_not_estimated_as_a_short_one():
@@ -81,12 +81,12 @@
     a new gateway, it routes callers to all gateways of the zone, including one that is
     stopping and would accept nothing more because of the new gateway's digest.
     """
-    peers = FleetBook()
+    peers = PeerAvailability()
     receive(peers, "g2", SECOND, is_ready=False)
-    assert is_needed("a", peers.list_members(SECOND))
+    assert is_still_routed("a", peers.list_members(SECOND))
     ready = PeerDigest("g2", 2, 1, 1, availability_zone="a", is_ready=True)
-    peers.hear(ready, 2 * SECOND)
-    assert is_needed("a", peers.list_members(2 * SECOND + 50 * MILLISECOND))
+    peers.apply_digest(ready, 2 * SECOND)
+    assert is_still_routed("a", peers.list_members(2 * SECOND + 50 * MILLISECOND))
 
 
 def test_the_first_gateway_of_a_zone_in_a_large_fleet_is_still_routed():
@@ -99,10 +99,10 @@
 
     names = [f"{zone}-{index:02}" for zone in "abc" for index in range(13)]
     own = "b-00"
-    peers = FleetBook()
+    peers = PeerAvailability()
     for name in names:
         if name != own and own in list_told(name, set(names) - {name}):
             stops = name.startswith("b") and name < "b-08"
             left = 5 * SECOND if stops else None
             receive(peers, name, SECOND, name[0], is_ready=not stops, ends_in=left)
-    assert is_needed("b", peers.list_members(SECOND))
+    assert is_still_routed("b", peers.list_members(SECOND))
