--- a/packages/mustardquay-node/src/mustardquay_node/caller_connections.py
+++ b/packages/mustardquay-node/src/mustardquay_node/caller_connections.py
@@ -1,7 +1,7 @@
-"""Caller connections: requests off the wire, and answers onto it.
+"""Connections of callers: reading requests and writing answers.
 
-The HTTP is tornado's; what is added are the operator's limits, which change while
-connections are open, and a graceful end.
+HTTP is parsed by tornado. This module adds the operator's limits, which may change
+while connections are open, and a graceful shutdown.
 """
 
 import asyncio
@@ -27,39 +27,39 @@
 
 __all__ = ["CallerAnswer", "CallerConnection", "CallerConnections", "CallerRequest"]
 
-SETTLE_STEP = timedelta(milliseconds=10)
-"""Time between two looks at connections that are about to end."""
+DRAIN_CHECK_INTERVAL = timedelta(milliseconds=10)
+"""Time between two checks for connections that can be closed."""
 
 
 @dataclass(frozen=True, slots=True)
 class CallerConnection:
-    """A caller's connection, as the log names it."""
+    """A caller's connection, as it is identified in the log."""
 
     number: int = 0
-    """The first that the process has accepted is 1."""
+    """Counts the connections that the process has accepted, from 1."""
     opened_at: timedelta = timedelta()
     """On the monotonic clock."""
 
 
 @dataclass(slots=True)
 class CallerRequest:
-    """One request as it came."""
+    """One request as it was received."""
 
     method: str
     path: str
-    """With the query, as it was sent."""
+    """Includes the query, as it was sent."""
     headers: HTTPHeaders
-    """Without those of the connection."""
+    """Without hop-by-hop headers."""
     received_at: timedelta
     position: int = 1
-    """Which request of its connection it is, the first being 1."""
+    """Position among the requests of its connection, from 1."""
     connection: CallerConnection = CallerConnection()
     body: bytes = b""
 
     def describe_connection(self) -> dict[str, int]:
-        """Return for the log how it came: its connection, how old that was, its place.
+        """Return log fields: the connection, its age, and the request's position on it.
 
-        By these it shows whether a request came on a connection from before a stop.
+        They show whether a request came on a connection from before a stop.
         """
         age = self.received_at - self.connection.opened_at
         return {
@@ -70,7 +70,7 @@
 
 
 class CallerAnswer:
-    """The answer to one request; says whether the caller is still there."""
+    """The answer to one request, and whether its caller is still connected."""
 
     def __init__(
         self,
@@ -78,18 +78,18 @@
         method: str,
         is_last: Callable[[], bool] = lambda: False,
     ):
-        """Take `is_last`: whether the connection ends with this answer."""
+        """Take `is_last`: returns whether this is the connection's last answer."""
         self._connection = connection
         self._method = method
         self._is_last = is_last
-        self._left: Callable[[], None] | None = None
+        self._on_caller_gone: Callable[[], None] | None = None
         self.has_begun = False
         self.has_ended = False
         self.is_caller_gone = False
 
     def watch(self, left: Callable[[], None]) -> None:
-        """Call back when the caller closes its connection before the answer's end."""
-        self._left = left
+        """Call `left` if the caller closes its connection before the answer's end."""
+        self._on_caller_gone = left
         self._connection.set_close_callback(self._note_gone)
 
     def send(self, status: int, headers: HTTPHeaders, body: bytes) -> None:
@@ -103,13 +103,13 @@
         self._end()
 
     def begin(self, status: int, headers: HTTPHeaders) -> None:
-        """Send the head of an answer whose length is not known."""
+        """Send the head of an answer of unknown length."""
         self.has_begun = True
         if not self.is_caller_gone:
             self._write_head(status, headers, None)
 
     def write(self, data: bytes) -> Awaitable[None] | None:
-        """Send a part; what is returned waits while the caller takes nothing in."""
+        """Send a part; returns what to await if the caller is slow to read, or None."""
         if self.is_caller_gone or self.has_ended:
             return None
         future = self._connection.write(data)
@@ -121,7 +121,7 @@
             self._end()
 
     def abort(self) -> None:
-        """Break off, so that the answer does not look whole."""
+        """Close the connection, so that the answer does not look complete."""
         self.has_ended = True
         self._connection.close()
 
@@ -134,18 +134,18 @@
 
     def _end(self) -> None:
         self.has_ended = True
-        self._left = None
+        self._on_caller_gone = None
         self._connection.finish()
 
     def _note_gone(self) -> None:
         self.is_caller_gone = True
-        if self._left is not None and not self.has_ended:
-            self._left()
+        if self._on_caller_gone is not None and not self.has_ended:
+            self._on_caller_gone()
 
 
 @dataclass(slots=True)
 class ConnectionOptions:
-    """What the connections need of their process."""
+    """Dependencies of the connections."""
 
     clock: Clock
     limits: Callable[[], CallerLimits]
@@ -153,33 +153,33 @@
 
 
 @dataclass(slots=True)
-class _Usage:
-    """How one connection is used."""
+class _ConnectionState:
+    """State of one connection."""
 
     current: HTTP1Connection
-    """Of the request that is awaited, read or answered."""
+    """Tornado's connection object for the request that is awaited, read or answered."""
     connection: CallerConnection
     requests: int = 0
-    """Requests that came on it, with the one that is awaited."""
+    """Requests received on it, and the one that is awaited."""
     is_busy: bool = False
     """Whether a request is being read or answered."""
 
 
 class CallerConnections(HTTPServerConnectionDelegate):
-    """Gives each request of each connection to the handler."""
+    """Passes each request of each connection to the handler."""
 
     def __init__(self, options: ConnectionOptions):
         self._options = options
         self._is_ending = False
-        self._open: dict[HTTP1ServerConnection, _Usage] = {}
+        self._open: dict[HTTP1ServerConnection, _ConnectionState] = {}
         self._numbers = count(1)
 
     def end_keep_alive(self) -> None:
-        """End each connection with its next answer.
+        """Close each connection after its next answer.
 
-        Guards against callers that go on using a connection of a gateway that stops.
-        The library fixes whether a connection is kept when it begins to wait for a
-        request, so that those which wait are told as well.
+        Guards against callers that go on using connections to a gateway that stops.
+        Tornado copies `no_keep_alive` when it begins to wait for a request, so it is
+        also set on connections that are already waiting.
         """
         self._is_ending = True
         for usage in self._open.values():
@@ -188,9 +188,9 @@
     def close_idle(self) -> int:
         """Close the connections on which no request is being read or answered.
 
-        A request that crosses the close was not read, and its caller sends it anew.
-        Guards against closing one whose bytes were read and are not looked at yet: the
-        library is not waiting for bytes then. Its caller would get no word.
+        A request that arrives during the close was not read, and its caller sends it
+        again. A connection with bytes that were read and not parsed yet stays open, as
+        its caller would get no answer; tornado isn't reading from it at that time.
         """
         idle = [
             connection
@@ -202,46 +202,46 @@
         return len(idle)
 
     async def settle(self, limit: timedelta) -> None:
-        """Wait until all that was read has its answer, and close the connections.
+        """Wait until each request that was read has its answer, and close connections.
 
-        Not longer than `limit`: some callers never send the rest of a request.
+        Ends after `limit`, as some callers never send the rest of a request.
         """
         deadline = self._options.clock.monotonic() + limit
         while self._open and self._options.clock.monotonic() < deadline:
             self.close_idle()
-            await asyncio.sleep(SETTLE_STEP.total_seconds())
+            await asyncio.sleep(DRAIN_CHECK_INTERVAL.total_seconds())
 
     @property
     def count(self) -> int:
-        """Return the connections that are open."""
+        """Return the number of open connections."""
         return len(self._open)
 
     def start_request(
         self, server_conn: HTTP1ServerConnection, request_conn: HTTP1Connection
     ) -> HTTPMessageDelegate:
-        """Return what takes in the next request of a connection."""
+        """Return the reader of the next request of a connection."""
         usage = self._open.get(server_conn)
         if usage is None:
             now = self._options.clock.monotonic()
             connection = CallerConnection(next(self._numbers), now)
-            usage = self._open[server_conn] = _Usage(request_conn, connection)
+            usage = self._open[server_conn] = _ConnectionState(request_conn, connection)
         usage.current = request_conn
         usage.requests += 1
         usage.is_busy = False
-        return _Reader(self._options, usage, lambda: self._is_ending)
+        return _RequestReader(self._options, usage, lambda: self._is_ending)
 
     def on_close(self, server_conn: HTTP1ServerConnection) -> None:
-        """Forget a connection."""
+        """Remove a connection."""
         self._open.pop(server_conn, None)
 
 
-class _Reader(HTTPMessageDelegate):
-    """Takes in one request, up to the limits."""
+class _RequestReader(HTTPMessageDelegate):
+    """Reads one request, within the limits."""
 
     def __init__(
         self,
         options: ConnectionOptions,
-        usage: _Usage,
+        usage: _ConnectionState,
         is_last: Callable[[], bool],
     ):
         self._options = options
@@ -287,8 +287,8 @@
             return
         assert self._request is not None and self._answer is not None
         if self._connection.stream.closed():
-            # Tornado goes on with what it had read before the connection was closed.
-            # Nobody would get the answer, and the caller sends the request anew.
+            # Tornado still parses what it had read before the connection was closed.
+            # The answer could not be sent, and the caller sends the request again.
             return
         self._request.body = b"".join(self._parts)
         self._options.handle(self._request, self._answer)
--- a/packages/mustardquay-node/src/mustardquay_node/connections.py
+++ b/packages/mustardquay-node/src/mustardquay_node/connections.py
@@ -1,7 +1,7 @@
-"""Connections: HTTP/1.1 exchanges over kept connections, with bounds on every wait.
+"""HTTP/1.1 exchanges over pooled connections, with a timeout on every wait.
 
-One exchange at a time goes over a connection. What a peer sends beyond its answer
-makes the connection unusable; an answer that names another request is skipped.
+A connection carries one exchange at a time. Bytes that a peer sends beyond its answer
+make the connection unusable; an answer to another request is skipped.
 """
 
 import socket
@@ -23,7 +23,7 @@
 from mustardquay.clocks import Clock
 
 from .descriptors import is_exhausted
-from .pauses import awake_timeout
+from .pauses import running_timeout
 
 __all__ = [
     "AnswerHead",
@@ -34,31 +34,30 @@
 ]
 
 CONNECT_TIMEOUT = timedelta(milliseconds=250)
-"""Longest wait for a connection. It takes some 2 ms; a lost first packet is sent again
-only after a second, by which time another try has come through."""
-ANSWER_LIMIT = 64 * 1024 * 1024
-"""Bytes of one answer."""
+"""Connecting takes some 2 ms. A lost first packet is retransmitted only after a second,
+by which time another attempt has succeeded."""
+MAX_ANSWER_BYTES = 64 * 1024 * 1024
+"""Largest body of one answer."""
 KEEPALIVE_IDLE = 1
-"""Seconds of silence after which TCP asks whether the peer still knows the
-connection."""
+"""Seconds without data after which TCP sends the first keepalive probe."""
 KEEPALIVE_INTERVAL = 1
-"""Seconds between two such questions."""
+"""Seconds between two keepalive probes."""
 KEEPALIVE_PROBES = 2
-"""Questions without an answer after which the connection is taken for lost."""
+"""Unanswered keepalive probes after which the connection counts as lost."""
 USER_TIMEOUT = 3_000
-"""Milliseconds that sent bytes may stay unacknowledged: a peer that lost power or
-is cut off answers nothing, and the connection would hang for a quarter of an hour."""
-SKIPPED_ANSWERS = 2
-"""Late answers to earlier requests that are skipped before one that counts."""
+"""Milliseconds that sent bytes may stay unacknowledged. Without it, a connection to a
+peer that lost power or network would hang for a quarter of an hour."""
+MAX_SKIPPED_ANSWERS = 2
+"""Answers to earlier requests that are skipped before the expected one."""
 
 
 class ExchangeEnd:
-    """How an exchange ended; plain strings for the log."""
+    """How an exchange ended; plain strings, as they are logged."""
 
     WHOLE = "whole"
     NOT_CONNECTED = "not_connected"
     NO_ROOM = "no_room"
-    """As many connections as may be are in use, here or in the whole process."""
+    """The limit of connections is reached, of the pool or of the whole process."""
     BROKEN = "broken"
     MALFORMED = "malformed"
     CANCELLED = "cancelled"
@@ -74,13 +73,13 @@
 
 
 def split_address(address: str) -> tuple[str, int]:
-    """Return IP number and port of `10.0.0.1:80`."""
+    """Return the IP number and the port of an address such as `10.0.0.1:80`."""
     host, _, port = address.rpartition(":")
     return host, int(port)
 
 
 def _make_socket() -> socket.socket | None:
-    """Return a socket, None if there are no descriptors left."""
+    """Return a socket, or None if the process has no file descriptors left."""
     try:
         connection = socket.socket(socket.AF_INET)
     except OSError as error:
@@ -104,45 +103,45 @@
         path: str,
         headers: HTTPHeaders,
         body: bytes = b"",
-        is_mine: Callable[[AnswerHead], bool] = lambda head: True,
+        is_expected: Callable[[AnswerHead], bool] = lambda head: True,
         receive: Callable[["Exchange", bytes], Awaitable[None] | None] | None = None,
     ):
-        """Take the request; `headers` is complete but for the length.
+        """Take the request; `headers` is complete except for the length.
 
-        `is_mine` tells whether an answer belongs to this request; others are
-        skipped. `receive` gets the body part by part; without it the body is kept.
+        `is_expected` returns whether an answer belongs to this request; others are
+        skipped. `receive` gets the body in parts; without it the body is buffered.
         """
         self.method = method
         self.path = path
         self.headers = headers
         self.body = body
-        self._is_mine = is_mine
+        self._is_expected = is_expected
         self._receive = receive
         self._parts: list[bytes] = []
         self._skipping = False
         self._stream: IOStream | None = None
         self.head: AnswerHead | None = None
         self.was_sent = False
-        """Whether a byte of the request may have left."""
+        """Whether a byte of the request may have been sent."""
         self.is_whole = False
         self.skipped = False
         self.is_unframed = False
-        """Whether the answer ends with its connection."""
-        self.was_kept = False
+        """Whether the end of the answer is the end of its connection."""
+        self.was_reused = False
         """Whether the connection had been used before."""
         self.cancelled = False
 
     @property
     def content(self) -> bytes:
-        """Return the body of the answer, where it was kept."""
+        """Return the body of the answer, as far as it was buffered."""
         return b"".join(self._parts)
 
     def attach(self, stream: IOStream) -> None:
-        """Note the connection."""
+        """Set the connection that `cancel` closes."""
         self._stream = stream
 
     def cancel(self) -> None:
-        """Close the connection, by which the peer learns to stop its work."""
+        """Close the connection, so that the peer cancels its work."""
         self.cancelled = True
         if self._stream is not None:
             self._stream.close()
@@ -150,12 +149,12 @@
     def headers_received(
         self, start_line: RequestStartLine | ResponseStartLine, headers: HTTPHeaders
     ) -> None:
-        """Take in the head of an answer."""
+        """Handle the head of an answer."""
         assert isinstance(start_line, ResponseStartLine)
         if start_line.code < 200:
             return
         head = AnswerHead(start_line.code, start_line.reason, headers)
-        self._skipping = not self._is_mine(head)
+        self._skipping = not self._is_expected(head)
         self.is_unframed = (
             "Content-Length" not in headers and "Transfer-Encoding" not in headers
         )
@@ -163,7 +162,7 @@
             self.head = head
 
     def data_received(self, chunk: bytes) -> Awaitable[None] | None:
-        """Take in a part of the body."""
+        """Handle a part of the body."""
         if self._skipping:
             return None
         if self._receive is not None:
@@ -172,31 +171,31 @@
         return None
 
     def keep(self, data: bytes) -> None:
-        """Keep a part of the body for `content`."""
+        """Buffer a part of the body for `content`."""
         self._parts.append(data)
 
     def finish(self) -> None:
-        """Note the end of an answer."""
+        """Handle the end of an answer."""
         if self._skipping:
             self.skipped = True
         else:
-            # An answer without a length is whole only if its connection was closed
-            # in order; after a reset, what came may be a part.
+            # An answer without a length is complete only if its connection was closed
+            # cleanly; after a reset, its end may be missing.
             self.is_whole = self.head is not None and (
-                not self.is_unframed or self._has_ended_in_order()
+                not self.is_unframed or self._was_closed_cleanly()
             )
 
     def on_connection_close(self) -> None:
-        """Leave the answer as it is."""
+        """Do nothing; the answer stays incomplete."""
 
-    def _has_ended_in_order(self) -> bool:
+    def _was_closed_cleanly(self) -> bool:
         if self.head is not None and self.head.status in (204, 304):
             return True
         return self._stream is not None and self._stream.error is None
 
 
 class ConnectionPool:
-    """Connections to one address, the latest used first."""
+    """Connections to one address; the most recently used is reused first."""
 
     def __init__(
         self,
@@ -206,10 +205,10 @@
         idle_limit: timedelta,
         free_descriptors: Callable[[], bool] = lambda: False,
     ):
-        """Take the address; connections idle for over `idle_limit` aren't used.
+        """Take the address; connections idle for over `idle_limit` aren't reused.
 
-        `free_descriptors` closes what is idle in the process, and returns whether
-        there was any.
+        `free_descriptors` closes idle connections of the process, and returns whether
+        there were any.
         """
         self._address = split_address(address)
         self._clock = clock
@@ -218,27 +217,27 @@
         self._free_descriptors = free_descriptors
         self._idle: deque[tuple[IOStream, timedelta]] = deque()
         self._open = 0
-        self._parameters = HTTP1ConnectionParameters(max_body_size=ANSWER_LIMIT)
+        self._parameters = HTTP1ConnectionParameters(max_body_size=MAX_ANSWER_BYTES)
 
     def close(self) -> None:
-        """Close the connections that wait; those in use end with their exchange."""
+        """Close the idle connections; those in use end with their exchange."""
         self.close_idle()
 
     def close_idle(self) -> int:
-        """Close the connections that wait; returns how many."""
+        """Close the idle connections; returns how many."""
         count = len(self._idle)
         while self._idle:
             self._drop(self._idle.pop()[0])
         return count
 
     async def run(self, exchange: Exchange, idle_limit: timedelta | None = None) -> str:
-        """Send the request and take in the answer; returns an `ExchangeEnd`.
+        """Send the request and receive the answer; returns an `ExchangeEnd`.
 
-        `idle_limit` is for requests that must not meet a connection which the peer
-        is about to close: nobody could tell whether they were run.
+        A lower `idle_limit` is for requests that must not be repeated: on a connection
+        that the peer is closing, it can't be determined whether they were run.
         """
         stream = self._take_idle(idle_limit)
-        exchange.was_kept = stream is not None
+        exchange.was_reused = stream is not None
         if stream is None:
             opened = self._open_stream()
             if opened is None:
@@ -252,7 +251,7 @@
         exchange.attach(stream)
         may_keep = False
         try:
-            end = await self._carry(exchange, stream)
+            end = await self._exchange(exchange, stream)
             may_keep = end is ExchangeEnd.WHOLE and _is_clean(exchange, stream)
             return end
         finally:
@@ -262,7 +261,7 @@
                 self._drop(stream)
 
     async def probe(self) -> bool:
-        """Return whether a connection comes about; it is kept for the next request."""
+        """Return whether a connection can be opened; it is kept for later requests."""
         opened = self._open_stream()
         if opened is None:
             return True
@@ -274,7 +273,7 @@
 
     def _keep(self, stream: IOStream) -> None:
         self._idle.append((stream, self._clock.monotonic()))
-        # Tornado watches a socket without a reader only for its closing.
+        # Without a close callback, tornado does not notice that an idle socket closes.
         stream.set_close_callback(lambda: None)
 
     def _take_idle(self, idle_limit: timedelta | None) -> IOStream | None:
@@ -284,10 +283,10 @@
             self._drop(self._idle.popleft()[0])
         while self._idle:
             stream, since = self._idle[-1]
-            if since < now - limit and not _is_spoilt(stream):
+            if since < now - limit and not _is_unusable(stream):
                 return None
             self._idle.pop()
-            if not _is_spoilt(stream):
+            if not _is_unusable(stream):
                 stream.set_close_callback(None)
                 return stream
             self._drop(stream)
@@ -300,7 +299,7 @@
         return self._open < self._limit
 
     def _open_stream(self) -> IOStream | None:
-        """Return a stream that isn't connected yet, None if none may be opened."""
+        """Return a stream that isn't connected yet, or None at the limit."""
         if not self._make_room():
             return None
         connection = _make_socket()
@@ -312,7 +311,7 @@
         self._open += 1
         connected = False
         try:
-            async with awake_timeout(CONNECT_TIMEOUT):
+            async with running_timeout(CONNECT_TIMEOUT):
                 await stream.connect(self._address)
             stream.set_nodelay(True)
             connected = True
@@ -328,7 +327,7 @@
         stream.set_close_callback(None)
         stream.close()
 
-    async def _carry(self, exchange: Exchange, stream: IOStream) -> str:
+    async def _exchange(self, exchange: Exchange, stream: IOStream) -> str:
         connection = HTTP1Connection(stream, True, self._parameters)
         headers = exchange.headers
         if exchange.body or exchange.method in ("POST", "PUT", "PATCH"):
@@ -338,7 +337,7 @@
         try:
             connection.write_headers(line, headers, exchange.body)
             connection.finish()
-            for _ in range(SKIPPED_ANSWERS + 1):
+            for _ in range(MAX_SKIPPED_ANSWERS + 1):
                 exchange.skipped = False
                 await connection.read_response(exchange)
                 if not exchange.skipped or stream.closed():
@@ -353,10 +352,10 @@
 
 
 def _is_clean(exchange: Exchange, stream: IOStream) -> bool:
-    """Tell whether the connection may carry another exchange.
+    """Return whether the connection may carry another exchange.
 
-    An upstream may answer before it has read the whole body and read on later; bytes
-    of another request would then stand where the rest of that body is due.
+    An upstream may answer before it has read the whole body and read the rest later; it
+    would then take the bytes of the next request for the rest of that body.
     """
     assert exchange.head is not None
     connection = exchange.head.headers.get("Connection", "").lower()
@@ -364,10 +363,10 @@
         "close" not in connection
         and not exchange.is_unframed
         and not stream.writing()
-        and not _is_spoilt(stream)
+        and not _is_unusable(stream)
     )
 
 
-def _is_spoilt(stream: IOStream) -> bool:
-    # Bytes that come while no request waits belong to none.
+def _is_unusable(stream: IOStream) -> bool:
+    # Buffered bytes while no request is pending belong to no answer.
     return stream.closed() or stream._read_buffer_size > 0
--- a/packages/mustardquay-node/src/mustardquay_node/crosschecks.py
+++ b/packages/mustardquay-node/src/mustardquay_node/crosschecks.py
@@ -1,4 +1,4 @@
-"""Crosschecks: faults of settings that only show when keys are seen together."""
+"""Checks of combinations of settings that are valid on their own."""
 
 from collections.abc import Iterator
 from typing import TYPE_CHECKING, NamedTuple
@@ -6,22 +6,22 @@
 if TYPE_CHECKING:
     from .node_settings import Settings
 
-__all__ = ["FRAME_MARGIN", "Fault", "check_together"]
+__all__ = ["FRAME_MARGIN", "Fault", "check_combinations"]
 
 FRAME_MARGIN = 65_536
-"""Bytes that a frame needs beside the body that it carries."""
+"""Bytes of a frame beside the body in it."""
 
 
 class Fault(NamedTuple):
-    """A key that clashes with another, and what to do."""
+    """A key that conflicts with another one, and the remedy."""
 
     section: str
     key: str
     remedy: str
 
 
-def check_together(settings: "Settings") -> Iterator[Fault]:
-    """Yield each fault between keys that are valid on their own."""
+def check_combinations(settings: "Settings") -> Iterator[Fault]:
+    """Yield each conflict between keys that are valid on their own."""
     yield from _check_link(settings)
     if settings.entry is not None:
         yield from _check_entry(settings)
--- a/packages/mustardquay-node/src/mustardquay_node/descriptors.py
+++ b/packages/mustardquay-node/src/mustardquay_node/descriptors.py
@@ -1,9 +1,10 @@
-"""Descriptors: what a process does that may open no more of them.
+"""Handling of exhausted file descriptors.
 
-The limit is the machine's, and connections to many upstreams and of many callers reach
-it together. What is idle is closed first. What still can't be opened is not put down to
-its peer: a request is refused as not run, and a connection that waits to be accepted is
-closed at once, so that its caller turns to another process.
+The limit is set by the operating system, and connections to upstreams and from callers
+count towards it together. Idle connections are closed first. If a connection still
+can't be opened, this doesn't count as a failure of its peer: a request is refused as
+not run, and a connection that waits to be accepted is closed at once, so that its
+caller connects to another process.
 """
 
 import errno
@@ -18,42 +19,42 @@
 __all__ = ["AcceptingSocket", "DescriptorGuard", "is_exhausted"]
 
 EXHAUSTED = (errno.EMFILE, errno.ENFILE)
-LINE_INTERVAL = timedelta(seconds=5)
-"""Least time between two lines of the log on the same shortage."""
+LOG_INTERVAL = timedelta(seconds=5)
+"""Least time between two log lines about exhausted descriptors."""
 
 
 def is_exhausted(error: OSError) -> bool:
-    """Return whether an error says that there are no descriptors left."""
+    """Return whether an error means that there are no descriptors left."""
     return error.errno in EXHAUSTED
 
 
 class DescriptorGuard:
-    """Closes what is idle when descriptors run out, and tells it."""
+    """Closes idle connections when descriptors run out, and logs it."""
 
     def __init__(self, clock: Clock, events: EventRing):
         self._clock = clock
         self._events = events
-        self._told_at: timedelta | None = None
+        self._logged_at: timedelta | None = None
 
     def make_room(self, *sources: Callable[[], int]) -> bool:
         """Close idle connections; returns whether there were any.
 
-        Each source closes those of one kind and returns how many; the first that
-        closes any is enough.
+        Each source closes connections of one kind and returns how many; the first one
+        that closes any ends the search.
         """
         closed = 0
         for close_idle in sources:
             closed = close_idle()
             if closed:
                 break
-        self._tell(closed)
+        self._log_shortage(closed)
         return closed > 0
 
-    def _tell(self, closed: int) -> None:
+    def _log_shortage(self, closed: int) -> None:
         now = self._clock.monotonic()
-        if self._told_at is not None and now - self._told_at < LINE_INTERVAL:
+        if self._logged_at is not None and now - self._logged_at < LOG_INTERVAL:
             return
-        self._told_at = now
+        self._logged_at = now
         self._events.record(
             "descriptors.exhausted",
             closed=closed,
@@ -64,14 +65,14 @@
 class AcceptingSocket(socket.socket):
     """A listening socket that closes connections for which there is no descriptor.
 
-    Guards against a loop that is told of the same waiting connection for ever, without
-    being able to accept it, and has no time for the others.
+    Guards against an event loop that spins on a pending connection which it can't
+    accept, and starves all others.
     """
 
     def __init__(self, listening: socket.socket, make_room: Callable[[], bool]):
         """Take over a listening socket.
 
-        `make_room` closes what is idle, and returns whether there was any.
+        `make_room` closes idle connections, and returns whether there were any.
         """
         super().__init__(fileno=listening.detach())
         self.setblocking(False)
@@ -79,12 +80,12 @@
         self._spare = _open_spare()
 
     def accept(self) -> tuple[socket.socket, object]:
-        """Accept a connection; raises `BlockingIOError` if it had to be closed."""
+        """Accept a connection; raises `BlockingIOError` if it was closed instead."""
         accepted = self._try_accept()
         if accepted is None and self._make_room():
             accepted = self._try_accept()
         if accepted is None:
-            self._turn_away()
+            self._reject_connection()
             raise BlockingIOError(errno.EAGAIN, "No descriptors; connection closed.")
         return accepted
 
@@ -94,7 +95,7 @@
         super().close()
 
     def _try_accept(self) -> tuple[socket.socket, object] | None:
-        """Accept a connection; None if there are no descriptors left."""
+        """Accept a connection; returns None if there are no descriptors left."""
         try:
             return super().accept()
         except OSError as error:
@@ -102,8 +103,8 @@
                 raise
             return None
 
-    def _turn_away(self) -> None:
-        """Close the connection that waits, by the descriptor kept for this."""
+    def _reject_connection(self) -> None:
+        """Close the pending connection, with the descriptor reserved for this."""
         self._close_spare()
         accepted = self._try_accept()
         if accepted is not None:
--- a/packages/mustardquay-node/src/mustardquay_node/engine_calls.py
+++ b/packages/mustardquay-node/src/mustardquay_node/engine_calls.py
@@ -1,4 +1,4 @@
-"""Engine calls: what a gateway asks of an engine beside callers' requests."""
+"""Calls of a gateway to an engine on its own behalf, not for a caller's request."""
 
 import asyncio
 from collections.abc import Awaitable, Callable
@@ -15,12 +15,12 @@
 __all__ = ["CallEngine", "EngineCall", "call_engine"]
 
 CALL_TIMEOUT = timedelta(milliseconds=500)
-"""Engines answer such calls within some milliseconds; a connection may be silent."""
+"""Engines answer such calls within some milliseconds; a dead connection never does."""
 
 
 @dataclass(frozen=True, slots=True)
 class EngineCall:
-    """A call without a caller."""
+    """Method, path and body of such a call."""
 
     method: str
     path: str
@@ -28,13 +28,13 @@
 
 
 CallEngine = Callable[[UpstreamRecord, EngineCall], Awaitable[Exchange | None]]
-"""Calls an engine, and counts the call where its rate is limited."""
+"""Calls an engine, and counts the call towards the engine's rate limit."""
 
 
 async def call_engine(
     adapter: Adapter, pool: ConnectionPool, engine: UpstreamRecord, call: EngineCall
 ) -> Exchange | None:
-    """Return the whole answer of an engine, None if there was none in time."""
+    """Return the complete answer of an engine, None if there was none in time."""
     base = HTTPHeaders({"Host": engine.address})
     if call.body:
         base["Content-Type"] = "application/json"
--- a/packages/mustardquay-node/src/mustardquay_node/feeds.py
+++ b/packages/mustardquay-node/src/mustardquay_node/feeds.py
@@ -1,4 +1,4 @@
-"""Feeds: follow a table of the platform's store, through outages and lost history."""
+"""Feeds: follow a table of the platform's store, across outages and lost history."""
 
 import asyncio
 from collections.abc import Callable, Sequence
@@ -12,57 +12,57 @@
 from mustardquay.store_eras import StorePosition
 
 from .adapters import FeedPage, HistoryLost, ReadOptions, StoreRow, StoreTables
-from .read_races import EndedRead, RaceEvents, ReadRace
+from .hedged_reads import DiscardedRead, HedgeCallbacks, HedgedRead
 from .sleeps import Sleep, sleep as default_sleep
 
 __all__ = ["RETURN_GRACE", "FeedListener", "FeedOptions", "TableFeed"]
 
-FIRST_RETRY = timedelta(milliseconds=100)
-LONGEST_RETRY = timedelta(milliseconds=600)
-"""The store's return must be seen well within the time in which a configuration has
-to be in force; a process then makes some three calls a second while it is away."""
+FIRST_RETRY_DELAY = timedelta(milliseconds=100)
+MAX_RETRY_DELAY = timedelta(milliseconds=600)
+"""A feed must reconnect well within the time in which a configuration has to be in
+force. With these delays, a process makes some three calls a second during an outage."""
 
 
 RETURN_GRACE = timedelta(seconds=4)
-"""How long rows that a store lacks after it came back from a copy are kept: their
+"""How long rows are kept that the store lacks after it was restored from a copy: their
 writers write them again within a few heartbeats."""
 
 
 @dataclass(frozen=True, slots=True)
 class FeedOptions:
-    """How a table is followed."""
+    """Options for following a table."""
 
     table: str
     wait: timedelta
-    """How long the store holds a call that has nothing to tell. A connection that
-    went silent is noticed that much later."""
-    pace: timedelta = timedelta()
-    """Pause between calls, for tables that change all the time."""
+    """How long the store holds a call without changes (long polling). A silent
+    connection is detected that much later."""
+    pause: timedelta = timedelta()
+    """Pause between calls, for tables that change continually."""
 
 
-def _ignore() -> None:
-    """Take no note."""
+def _do_nothing() -> None:
+    """Do nothing; the default callback."""
 
 
 @dataclass(frozen=True, slots=True)
 class FeedListener:
-    """Who takes in what a feed brings."""
+    """Callbacks of a feed."""
 
     take: Callable[[Sequence[StoreRow], bool], None]
-    """Gets rows, and whether they are all there are."""
-    regained: Callable[[], None] = _ignore
-    """Called before the first rows that follow an outage."""
-    returned: Callable[[], None] = _ignore
-    """Called before the first rows after the store came back from a copy."""
+    """Called with rows, and whether they are all rows of the table."""
+    regained: Callable[[], None] = _do_nothing
+    """Called before the first rows after an outage."""
+    returned: Callable[[], None] = _do_nothing
+    """Called before the first rows after the store was restored from a copy."""
 
 
 @dataclass(frozen=True, slots=True)
-class _Found:
-    """What a read brought."""
+class _ReadResult:
+    """Result of a read."""
 
     page: FeedPage
     is_whole: bool
-    """Whether these are all rows, not those that have changed."""
+    """Whether these are all rows of the table, not only those that changed."""
 
 
 class TableFeed:
@@ -86,16 +86,16 @@
         self._random = random
         self._sleep = sleep
         self._position: StorePosition | None = None
-        """From where the next read goes on; None to read all rows."""
-        self._known: StorePosition | None = None
-        """The position of the rows that were taken last."""
-        self._drop_at: timedelta | None = None
-        """When rows are dropped that are still missing after a return."""
+        """Where the next read continues; None to read all rows."""
+        self._applied_position: StorePosition | None = None
+        """The position of the rows that were applied last."""
+        self._grace_until: timedelta | None = None
+        """When rows that a restored store still lacks are dropped."""
         self._failures = 0
         self._lost_at: timedelta | None = None
         self._answered_at: timedelta | None = None
         self._task: asyncio.Task[None] | None = None
-        self._race: ReadRace[_Found] | None = None
+        self._hedged_read: HedgedRead[_ReadResult] | None = None
 
     @property
     def answered_at(self) -> timedelta | None:
@@ -103,21 +103,21 @@
         return self._answered_at
 
     def start(self) -> None:
-        """Begin to follow."""
+        """Start to follow the table."""
         self._task = asyncio.create_task(self._run())
 
     def wake(self) -> None:
-        """Note that the store has something new, which a silent read would miss."""
-        if self._race is not None:
-            self._race.note_news()
+        """Note that the store has a change that a read on a dead connection misses."""
+        if self._hedged_read is not None:
+            self._hedged_read.note_change()
 
     def note_era(self) -> None:
-        """Read all rows now: the store has come back from a copy."""
+        """Read all rows now, as the store was restored from a copy."""
         self._position = None
         self.wake()
 
     async def close(self) -> None:
-        """Stop to follow."""
+        """Stop following the table."""
         if self._task is not None:
             self._task.cancel()
             await asyncio.gather(self._task, return_exceptions=True)
@@ -130,74 +130,77 @@
                 self._events.record("feed.history_lost", table=self._options.table)
                 self._position = None
             except Exception as error:
-                # Whatever it is, the feed must go on: without it, the process would
-                # serve by an old list for the rest of its life.
-                await self._wait_after(error)
+                # The feed must survive any error: without it, the process would use an
+                # outdated list until its restart.
+                await self._wait_to_retry(error)
             else:
-                await self._sleep(self._options.pace)
+                await self._sleep(self._options.pause)
 
     async def _read_once(self) -> None:
-        observer = RaceEvents(self._note_silence, self._note_ended)
-        self._race = ReadRace(self._open_read, self._clock, observer)
+        observer = HedgeCallbacks(self._note_silence, self._log_discarded_read)
+        self._hedged_read = HedgedRead(self._open_read, self._clock, observer)
         try:
-            found = await self._race.run(self._choose_wait())
+            found = await self._hedged_read.run(self._choose_wait())
         finally:
-            self._race = None
+            self._hedged_read = None
         self._answered_at = self._clock.monotonic()
         self._note_answer()
-        self._take_in(found)
+        self._apply(found)
 
-    def _take_in(self, found: _Found) -> None:
-        """Take in rows; after a return of the store, nothing is dropped at first.
+    def _apply(self, found: _ReadResult) -> None:
+        """Apply rows; for some time after a restore of the store, none are dropped.
 
-        Guards against a copy that lacks an upstream that serves, until that one has
-        written its row again: it would get no work for seconds.
+        Guards against a copy that lacks the row of a serving upstream: the upstream
+        would get no requests for seconds, until it has written its row again.
         """
         position = found.page.position
-        if position.follows_return(self._known):
+        if position.follows_return(self._applied_position):
             if not found.is_whole:
-                # Changes after a version that stood for other changes.
+                # Changes since a version that meant other changes before the restore.
                 self._position = None
                 return
             self._begin_era(position)
         now = self._clock.monotonic()
-        is_early = self._drop_at is not None and now < self._drop_at
+        is_early = self._grace_until is not None and now < self._grace_until
         is_whole = found.is_whole and not is_early
         if is_whole:
-            self._drop_at = None
+            self._grace_until = None
         self._listener.take(found.page.rows, is_whole)
-        self._position = self._known = position
+        self._position = self._applied_position = position
 
     def _begin_era(self, position: StorePosition) -> None:
-        self._drop_at = self._clock.monotonic() + RETURN_GRACE
+        self._grace_until = self._clock.monotonic() + RETURN_GRACE
         self._events.record(
             "feed.read_anew",
             table=self._options.table,
             era=position.era,
             version=position.version,
-            before=self._known.version if self._known else 0,
+            before=self._applied_position.version if self._applied_position else 0,
         )
         self._listener.returned()
 
-    async def _open_read(self, is_first: bool, options: ReadOptions) -> "_Found":
-        """Read what has changed; beside a silent read, all rows.
+    async def _open_read(self, is_first: bool, options: ReadOptions) -> "_ReadResult":
+        """Read the changes; a hedge beside a silent read gets all rows.
 
-        All rows hold only the newest value of each, where changes may hold many.
+        The table has only the newest value of each row, changes may have many.
         """
         table = self._options.table
         position = self._position
-        if is_first and position is not None and not self._is_drop_due():
+        if is_first and position is not None and not self._is_grace_over():
             page = await self._store.follow(table, position.version, options)
-            return _Found(page, is_whole=False)
-        return _Found(await self._store.list_rows(table, options), is_whole=True)
+            return _ReadResult(page, is_whole=False)
+        return _ReadResult(await self._store.list_rows(table, options), is_whole=True)
 
-    def _is_drop_due(self) -> bool:
-        return self._drop_at is not None and self._clock.monotonic() >= self._drop_at
+    def _is_grace_over(self) -> bool:
+        return (
+            self._grace_until is not None
+            and self._clock.monotonic() >= self._grace_until
+        )
 
     def _note_silence(self) -> None:
         self._note_lost("The store is silent")
 
-    def _note_ended(self, read: EndedRead) -> None:
+    def _log_discarded_read(self, read: DiscardedRead) -> None:
         self._events.record(
             "feed.read_ended",
             table=self._options.table,
@@ -209,16 +212,15 @@
     def _choose_wait(self) -> timedelta:
         """Return how long the store may hold the next call.
 
-        Guards against a call that was sent just before a silent store returns: it
-        gets no answer and ends only when its wait is over, and changes that were made
-        since the return are seen seconds late. While the store is lost, calls ask for
-        no wait and end sooner.
+        During an outage, calls ask for no wait. Otherwise a call sent just before a
+        silent store recovers would get no answer and end only after its wait, so that
+        changes made since the recovery would be seen seconds late.
         """
         if self._lost_at is not None:
             return timedelta()
-        if self._drop_at is None:
+        if self._grace_until is None:
             return self._options.wait
-        left = self._drop_at - self._clock.monotonic()
+        left = self._grace_until - self._clock.monotonic()
         return min(self._options.wait, max(left, timedelta()))
 
     def _note_answer(self) -> None:
@@ -239,8 +241,10 @@
             self._lost_at = self._clock.monotonic()
             self._events.record("feed.lost", table=self._options.table, error=error)
 
-    async def _wait_after(self, error: Exception) -> None:
+    async def _wait_to_retry(self, error: Exception) -> None:
         self._note_lost(repr(error))
-        delay = draw_delay(self._random, self._failures, FIRST_RETRY, LONGEST_RETRY)
+        delay = draw_delay(
+            self._random, self._failures, FIRST_RETRY_DELAY, MAX_RETRY_DELAY
+        )
         self._failures += 1
-        await self._sleep(FIRST_RETRY / 2 + delay)
+        await self._sleep(FIRST_RETRY_DELAY / 2 + delay)
--- a/packages/mustardquay-node/src/mustardquay_node/forwarder_parts.py
+++ b/packages/mustardquay-node/src/mustardquay_node/forwarder_parts.py
@@ -1,4 +1,4 @@
-"""Forwarder parts: what the forwardings of one gateway share."""
+"""Shared dependencies of a gateway's requests, and the state of each request."""
 
 from collections.abc import Callable
 from dataclasses import dataclass, field
@@ -29,7 +29,7 @@
 
 @dataclass(slots=True)
 class ForwarderParts:
-    """The parts of one gateway, and whom to tell of what is counted."""
+    """Dependencies shared by all requests of one gateway, and callbacks for metrics."""
 
     adapter: Adapter
     clock: Clock
@@ -51,46 +51,46 @@
     count_send: Callable[[str, str], None] = lambda route, end: None
     """Counts a send by route and by how it ended."""
     count_unused_reading: Callable[[str], None] = lambda reason: None
-    """Counts a prompt that was read and nothing generated from, by the reason."""
+    """Counts a prefill from which nothing was generated, by the reason."""
     record_first_byte: Callable[[str, timedelta], None] = lambda route, duration: None
 
 
 @dataclass(slots=True)
 class ForwardedRequest:
-    """One request on its way, as all its stages know it."""
+    """One request, with the state that all its stages share."""
 
     incoming: CallerRequest
     facts: RequestFacts
     route: Route
     service: str
-    limit_at: timedelta
-    """When the caller or the route's timeout ends the wait, on the monotonic clock."""
+    deadline: timedelta
+    """When the caller's or the route's timeout expires, on the monotonic clock."""
     fingerprint: int
     begin_by: timedelta | None = None
-    """When the first part of the answer is due at the latest; None for the limit."""
+    """Deadline of the first part of the answer; None for `deadline`."""
     sendings: Sendings = field(default_factory=Sendings)
     avoid: set[str] = field(default_factory=set)
-    """Upstreams that this request has been sent to."""
+    """Upstreams that this request was already sent to."""
     current: Exchange | None = None
-    """What runs now."""
+    """The exchange that is running."""
     upstream: str = ""
-    """The upstream that was sent to last."""
+    """The upstream of the last send."""
     last_end: str = "unanswered"
-    """How the last send that has ended did, a value of `SendEnd`."""
-    was_cut_off: bool = False
-    """Whether a send that may have run was ended by the limit."""
+    """Result of the last send that has ended, a value of `SendEnd`."""
+    was_interrupted: bool = False
+    """Whether a send that may have run was cancelled at the deadline."""
     is_late: bool = False
-    """Whether a generation can't be in time, so that others go first."""
+    """Whether a generation can't meet its latency target, so that others go first."""
     expected: timedelta | None = None
-    """When a generation that was admitted as in time was to be read, from then on."""
+    """Expected time to the first event of a generation that was admitted as in time."""
     reading: KeptReading | None = None
-    """What has been read for it by another engine than the one that generates."""
+    """The prefill by another engine than the one that decodes."""
     last_event: str | None = None
-    """The last whole event that the caller has been sent."""
+    """Id of the last complete event that was sent to the caller."""
 
     @property
-    def most_tokens(self) -> int:
-        """Return how many tokens may be generated, 0 for plain services."""
+    def max_output_tokens(self) -> int:
+        """Return the limit of generated tokens, 0 for plain services."""
         prompt = self.facts.prompt if self.route.has_prompt else None
         return prompt.output_tokens if prompt is not None else 0
 
@@ -99,6 +99,6 @@
         """Return the caller's id of this attempt."""
         return self.facts.id
 
-    def measure_left(self, now: timedelta) -> timedelta:
-        """Return the time until the limit."""
-        return self.limit_at - now
+    def measure_time_left(self, now: timedelta) -> timedelta:
+        """Return the time until the deadline."""
+        return self.deadline - now
--- a/packages/mustardquay-node/src/mustardquay_node/forwarders.py
+++ b/packages/mustardquay-node/src/mustardquay_node/forwarders.py
@@ -1,4 +1,4 @@
-"""Forwarders: all the requests that one gateway is forwarding."""
+"""Forwarder: all the requests that one gateway is forwarding."""
 
 import asyncio
 
@@ -12,7 +12,7 @@
 
 
 class Forwarder:
-    """Forwards each request by the configuration in force when it came."""
+    """Forwards each request by the configuration in force when it arrived."""
 
     def __init__(self, parts: ForwarderParts):
         self._parts = parts
@@ -27,20 +27,20 @@
 
     @property
     def in_flight(self) -> int:
-        """Return the requests without a whole answer."""
+        """Return the number of requests without a complete answer."""
         return len(self._tasks)
 
     @property
     def has_served(self) -> bool:
-        """Return whether a caller has come since the start."""
+        """Return whether a request has arrived since the start."""
         return self._has_served
 
     def put_table(self, table: RoutingTable) -> None:
-        """Put a configuration in force for the requests that come from now on."""
+        """Put a configuration in force for new requests."""
         self._table = table
 
     def handle(self, request: CallerRequest, answer: CallerAnswer) -> None:
-        """Begin to forward a request."""
+        """Start a task that forwards a request."""
         self._has_served = True
         work = forward(self._parts, self._table, request, answer)
         task = asyncio.create_task(work)
@@ -48,11 +48,11 @@
         task.add_done_callback(self._forget_task)
 
     async def close(self) -> None:
-        """Cancel what is left; each is answered.
+        """Cancel the remaining requests; each gets an answer.
 
-        First lets those begin whose requests were read in this turn of the loop: a
-        task that is cancelled before it began does nothing, and its caller would get
-        no word.
+        Yields to the event loop first, so that tasks created in this iteration start: a
+        task that is cancelled before its start runs no code, and its caller would get
+        no answer.
         """
         await asyncio.sleep(0)
         tasks = list(self._tasks)
--- a/packages/mustardquay-node/src/mustardquay_node/forwardings.py
+++ b/packages/mustardquay-node/src/mustardquay_node/forwardings.py
@@ -1,9 +1,9 @@
-"""Forwardings: one caller's request, from its arrival to the end of its answer.
+"""Forward one caller's request, from its arrival to the end of its answer.
 
-The stages are: what the request says and its route, its upstream, the send (`sends`,
-`handovers`), and what follows from how the send ended. Whether something is sent again
-is decided in `mustardquay.sendings`, where it goes in `placements` and
-`upstream_loads`; what the caller is told is in `replies`.
+The stages are: parse the request and find its route, choose an upstream, send
+(`sends`, `handovers`), and act on the result of the send. Whether a request is sent
+again is decided in `mustardquay.sendings`, its upstream in `placements` and
+`upstream_loads`; answers to the caller are written in `replies`.
 """
 
 import asyncio
@@ -21,7 +21,7 @@
 
 from .caller_connections import CallerAnswer, CallerRequest
 from .forwarder_parts import ForwardedRequest, ForwarderParts
-from .gateway_stops import RETRY_SOON
+from .gateway_stops import DEFAULT_RETRY_AFTER
 from .handovers import drop_reading, send_generation
 from .rate_turns import await_turn
 from .replies import Reply
@@ -29,14 +29,16 @@
 
 __all__ = ["forward", "read_request"]
 
-QUARANTINE_RETURN = timedelta(seconds=60)
-"""When a caller may try again what crashed upstreams; sooner is of no use."""
-CLOSE_MARGIN = timedelta(milliseconds=30)
-"""How long before the caller's limit it gets its answer, so that it arrives."""
-TURN_SHARE = 0.5
-"""Part of the target that a plain request may wait for the rate limit of its upstream;
-the rest is for its work."""
-UNKNOWN = "It is not known whether this was run."
+QUARANTINE_RETRY_AFTER = timedelta(seconds=60)
+"""Retry-After for a request that crashed upstreams; an earlier retry would be refused
+too."""
+DEADLINE_MARGIN = timedelta(milliseconds=30)
+"""Time before the deadline at which a request is answered, so that the answer still
+arrives in time."""
+RATE_LIMIT_WAIT_SHARE = 0.5
+"""Part of the latency target that a plain request may wait for the rate limit of its
+upstream; the rest is left for its execution."""
+OUTCOME_UNKNOWN = "It is not known whether this was run."
 
 
 async def forward(
@@ -45,36 +47,36 @@
     incoming: CallerRequest,
     answer: CallerAnswer,
 ) -> None:
-    """Answer one request by the configuration under which it came."""
+    """Answer one request by the configuration in force when it arrived."""
     reply = Reply(parts, incoming, answer)
     request = read_request(parts, table, incoming, reply)
     if request is None:
         return
-    if parts.stop.has_begun and not _admit(parts, request, reply):
+    if parts.stop.has_begun and not _admit_while_stopping(parts, request, reply):
         return
     forwarding = _Forwarding(parts, request, reply)
     answer.watch(forwarding.note_caller_left)
-    limit_at = request.limit_at - CLOSE_MARGIN
-    begin_by = min(request.begin_by or limit_at, limit_at)
+    deadline = request.deadline - DEADLINE_MARGIN
+    begin_by = min(request.begin_by or deadline, deadline)
     waiting = parts.times.begin(request.route.name, incoming.received_at)
     try:
         async with asyncio.timeout_at(begin_by.total_seconds()) as timer:
             reply.begun = [
-                partial(timer.reschedule, limit_at.total_seconds()),
+                partial(timer.reschedule, deadline.total_seconds()),
                 partial(parts.times.end, waiting),
             ]
             await forwarding.run()
     except TimeoutError:
-        forwarding.end_late()
+        forwarding.end_on_timeout()
     except asyncio.CancelledError:
-        forwarding.end_with_process()
+        forwarding.end_on_shutdown()
         raise
     except Exception:
-        # A fault of this program must not leave its caller waiting.
+        # An unexpected error must not leave the caller without an answer.
         if reply.has_begun:
             reply.break_off()
         else:
-            reply.fail(502, "fault", UNKNOWN)
+            reply.fail(502, "fault", OUTCOME_UNKNOWN)
         raise
     finally:
         parts.times.end(waiting)
@@ -87,19 +89,19 @@
     incoming: CallerRequest,
     reply: Reply,
 ) -> ForwardedRequest | None:
-    """Return what a request is and may be, or answer that it can't be forwarded."""
+    """Return the request with its route and service, or answer that it has none."""
     if table is None:
-        reply.refuse("no_configuration", RETRY_SOON)
+        reply.refuse("no_configuration", DEFAULT_RETRY_AFTER)
         return None
     reply.version = table.version
     state = parts.judge_table()
     if state is TableState.OUTDATED:
-        reply.refuse("outdated", RETRY_SOON)
+        reply.refuse("outdated", DEFAULT_RETRY_AFTER)
         return None
     route = table.find_route(incoming.headers.get("Host", ""), incoming.path)
     if route is None and state is TableState.BEHIND:
-        # The newer version may have the route.
-        reply.refuse("unknown_route", RETRY_SOON)
+        # The newer version of the configuration may have the route.
+        reply.refuse("unknown_route", DEFAULT_RETRY_AFTER)
         return None
     if route is None:
         reply.fail(404, "no_route", "There is no route for this host and path.")
@@ -113,7 +115,7 @@
     reply.request = facts.id
     service = choose_backend(route.backends, parts.random.random())
     if service is None:
-        reply.refuse("no_service", RETRY_SOON)
+        reply.refuse("no_service", DEFAULT_RETRY_AFTER)
         return None
     parts.pools.get_window(service).count_request(incoming.received_at)
     parts.limits.demand.count_request(service, incoming.received_at)
@@ -125,7 +127,7 @@
         facts,
         route,
         service,
-        limit_at=incoming.received_at + allowed,
+        deadline=incoming.received_at + allowed,
         fingerprint=parts.crashes.take_fingerprint(
             incoming.method, incoming.path, incoming.body
         ),
@@ -133,9 +135,14 @@
     )
 
 
-def _admit(parts: ForwarderParts, request: ForwardedRequest, reply: Reply) -> bool:
-    """Take or refuse a request that comes in a stop; returns whether it is taken."""
-    demand = _find_demand(parts, request)
+def _admit_while_stopping(
+    parts: ForwarderParts, request: ForwardedRequest, reply: Reply
+) -> bool:
+    """Admit or refuse a request that arrives during a graceful stop.
+
+    Returns whether it is admitted.
+    """
+    demand = _estimate_demand(parts, request)
     inputs = {
         "expected_ms": round(demand.expected.total_seconds() * 1000),
         "left_ms": round(parts.stop.left.total_seconds() * 1000),
@@ -154,19 +161,19 @@
     return True
 
 
-def _find_demand(parts: ForwarderParts, request: ForwardedRequest) -> Demand:
+def _estimate_demand(parts: ForwarderParts, request: ForwardedRequest) -> Demand:
     now = parts.clock.monotonic()
     return Demand(
-        request.measure_left(now),
+        request.measure_time_left(now),
         parts.times.find_longest(request.route.name, now),
-        request.most_tokens,
+        request.max_output_tokens,
         request.route.repeat is Repeat.STREAM,
         request.route.resumable,
     )
 
 
 class _Forwarding:
-    """Sends one request until its caller has an answer."""
+    """Sends one request, with retries, until its caller has an answer."""
 
     def __init__(self, parts: ForwarderParts, request: ForwardedRequest, reply: Reply):
         self._parts = parts
@@ -175,15 +182,15 @@
         self._sender = Sender(parts, request, reply)
 
     async def run(self) -> None:
-        """Send, and send again where that is allowed and of use."""
+        """Send, and retry where that is allowed and can succeed."""
         while not self._reply.is_caller_gone:
             if self._parts.crashes.is_refused(self._request.fingerprint):
-                self._refuse_crasher()
+                self._refuse_quarantined()
                 return
             send = await self._send()
             if send is None:
                 if not self._reply.has_ended:
-                    self._refuse_unplaced()
+                    self._refuse_without_upstream()
                 return
             self._request.sendings.note(send.end)
             self._request.last_end = send.end.value
@@ -191,36 +198,36 @@
             if send.end is SendEnd.ANSWERED and send.passed:
                 self._sender.log(send, "answered")
                 self._reply.end_stream()
-                self._learn_time()
+                self._record_times()
                 return
-            if not self._goes_on(send):
+            if not self._decide_retry(send):
                 return
 
     def note_caller_left(self) -> None:
-        """Stop the work of a caller that has closed its connection."""
+        """Cancel the request of a caller that has closed its connection."""
         current = self._request.current
         if current is None:
             return
-        # Work that must not be repeated is brought to its end: its caller can't
-        # know how far it got, and half of it helps nobody.
+        # A request that must not be repeated runs to its end: its caller can't find
+        # out how far it got, and a partial execution is of no use.
         if self._request.route.repeat is not Repeat.AT_MOST_ONCE:
             current.cancel()
         self._parts.events.record("caller.left", request=self._request.id)
 
-    def end_with_process(self) -> None:
+    def end_on_shutdown(self) -> None:
         """Answer a request that is still running when the process ends."""
         self._record_end("request.cut_off")
-        self._end_unanswered(
+        self._end_without_answer(
             "stopped", "The gateway ended before the answer was there."
         )
 
-    def end_late(self) -> None:
-        """Answer a request whose time is over."""
+    def end_on_timeout(self) -> None:
+        """Answer a request that has reached its deadline."""
         self._record_end("request.timed_out")
-        self._end_unanswered("timed_out", "There was no answer in time.")
+        self._end_without_answer("timed_out", "There was no answer in time.")
 
     def _record_end(self, kind: str) -> None:
-        """Log how far a request had come that ends without its whole answer."""
+        """Log the progress of a request that ends without its whole answer."""
         request, reply = self._request, self._reply
         self._parts.events.record(
             kind,
@@ -228,48 +235,48 @@
             route=reply.route,
             upstream=request.upstream,
             passed=reply.passed,
-            held_back=self._sender.holds_back,
+            held_back=self._sender.has_partial_event,
             sends=request.sendings.offered,
             age_ms=reply.age_ms,
             **request.incoming.describe_connection(),
         )
 
-    def _end_unanswered(self, reason: str, message: str) -> None:
-        """Tell the caller truly that there will be no answer."""
+    def _end_without_answer(self, reason: str, message: str) -> None:
+        """Tell the caller that there is no answer, and whether the request ran."""
         request, reply = self._request, self._reply
-        self._learn_time()
+        self._record_times()
         if reply.is_caller_gone:
             reply.count("caller_left")
         elif reply.has_begun:
             reply.break_off()
-        elif request.sendings.may_have_run or request.was_cut_off:
+        elif request.sendings.may_have_run or request.was_interrupted:
             reply.fail(504, reason, message)
         else:
             reply.refuse(reason, self._parts.stop.draw_return(timedelta()))
 
-    def _learn_time(self) -> None:
-        """Tell the books how long an answer took, or what there was of it.
+    def _record_times(self) -> None:
+        """Record the duration of an answer, complete or not.
 
-        Also if it did not come to its end: it is those that take the longest.
+        Incomplete ones count too, as they are those that take the longest.
         """
         request = self._request
         if request.expected is not None and request.sendings.offered <= 1:
             self._parts.answer_times.note(
                 request.route,
                 request.expected,
-                self._reply.first_after,
+                self._reply.time_to_first_part,
                 self._parts.clock.monotonic(),
             )
         self._parts.times.note(
             self._request.route.name,
             self._parts.clock.monotonic(),
-            self._reply.first_after,
-            self._reply.rest_after,
+            self._reply.time_to_first_part,
+            self._reply.stream_duration,
             self._reply.events,
         )
 
     async def _send(self) -> Send | None:
-        """Choose an upstream and send; None without one or when refused."""
+        """Choose an upstream and send; None if there is none or it was refused."""
         parts, request = self._parts, self._request
         candidates = parts.upstreams.list_usable(request.service)
         prompt = request.facts.prompt
@@ -289,18 +296,18 @@
         )
         if upstream is None:
             return None
-        return await self._send_in_turn(upstream, now)
+        return await self._send_within_rate_limit(upstream, now)
 
-    async def _send_in_turn(
+    async def _send_within_rate_limit(
         self, upstream: UpstreamRecord, now: timedelta
     ) -> Send | None:
-        """Send once the upstream's rate limit allows it; None if that is too late."""
+        """Send when the upstream's rate limit allows it; None if that is too late."""
         parts, request = self._parts, self._request
-        turn_after = timedelta(seconds=parts.limits.expect_wait(upstream, now))
-        if turn_after > TURN_SHARE * request.route.latency_target:
-            # Spread, so that those refused together don't meet again.
-            back = turn_after * (1 + parts.random.random())
-            self._refuse_unplaced("limited", back)
+        wait_time = timedelta(seconds=parts.limits.expect_wait(upstream, now))
+        if wait_time > RATE_LIMIT_WAIT_SHARE * request.route.latency_target:
+            # Jitter keeps callers refused together from retrying at the same time.
+            retry_after = wait_time * (1 + parts.random.random())
+            self._refuse_without_upstream("limited", retry_after)
             return None
         turn = parts.limits.reserve(upstream, now)
         try:
@@ -309,35 +316,35 @@
             parts.limits.release(turn)
         return await self._sender.run(upstream)
 
-    def _goes_on(self, send: Send) -> bool:
-        """Decide what follows; returns whether the request is sent again."""
+    def _decide_retry(self, send: Send) -> bool:
+        """Decide the next step; returns whether the request is sent again."""
         request = self._request
         if self._reply.is_caller_gone:
             self._sender.log(send, "stop")
             self._reply.count("caller_left")
             return False
         now = self._parts.clock.monotonic()
-        left = request.measure_left(now)
+        left = request.measure_time_left(now)
         step = decide_next(request.route, request.sendings, send.end, send.status, left)
         if step in (NextStep.SEND_AGAIN, NextStep.RESUME):
             request.avoid.add(send.upstream.id)
-            if self._pays_for_repeat(send, now):
+            if self._take_retry_allowance(send, now):
                 self._sender.log(send, step.value)
                 return True
-            step = self._replace_step(send)
+            step = self._choose_final_step(send)
         self._sender.log(send, step.value)
-        self._conclude(step, send)
+        self._finish(step, send)
         return False
 
-    def _pays_for_repeat(self, send: Send, now: timedelta) -> bool:
-        """Take what another try costs from the retry allowance, if it is there."""
+    def _take_retry_allowance(self, send: Send, now: timedelta) -> bool:
+        """Charge a retry to the retry allowance; returns whether it had room."""
         request = self._request
         sends = count_repeats(request.route, send.end, self._judge_reading())
         window = self._parts.pools.get_window(request.service)
         return not sends or window.take(now, sends)
 
     def _judge_reading(self) -> ReadingState:
-        """Tell what there is of the prompt's reading for another try."""
+        """Return whether a retry can use the prompt that was already prefilled."""
         parts, request = self._parts, self._request
         if request.reading is None:
             return ReadingState.NONE
@@ -345,42 +352,42 @@
         loss = parts.planner.find_loss(request.reading, engines, request.avoid)
         return ReadingState.KEPT if loss is None else ReadingState.LOST
 
-    def _replace_step(self, send: Send) -> NextStep:
-        """Return what happens where the allowance has no room for another send."""
+    def _choose_final_step(self, send: Send) -> NextStep:
+        """Return the last step if the retry allowance has no room for another send."""
         if send.end is SendEnd.ANSWERED:
             return NextStep.PASS_ON
         may_have_run = self._request.sendings.may_have_run
         return NextStep.FAIL if may_have_run else NextStep.REFUSE
 
-    def _conclude(self, step: NextStep, send: Send) -> None:
+    def _finish(self, step: NextStep, send: Send) -> None:
         if step is NextStep.PASS_ON:
             assert send.head is not None
             self._reply.pass_on(send.head, send.content)
-            self._learn_time()
+            self._record_times()
         elif self._reply.has_begun:
             self._reply.break_off()
         elif step is NextStep.REFUSE:
             retry_after = send.facts.retry_after if send.facts else None
-            self._reply.refuse(send.end.value, retry_after or RETRY_SOON)
+            self._reply.refuse(send.end.value, retry_after or DEFAULT_RETRY_AFTER)
         else:
-            self._reply.fail(502, send.end.value, UNKNOWN)
+            self._reply.fail(502, send.end.value, OUTCOME_UNKNOWN)
 
-    def _refuse_crasher(self) -> None:
-        """Answer a request that has crashed each upstream that ran it."""
+    def _refuse_quarantined(self) -> None:
+        """Answer a request that is quarantined for crashing the upstreams it ran on."""
         if self._reply.has_begun:
             self._reply.break_off()
         elif self._request.sendings.may_have_run:
             self._reply.fail(502, "quarantine", "The upstreams crashed on this.")
         else:
-            self._reply.refuse("quarantine", QUARANTINE_RETURN)
+            self._reply.refuse("quarantine", QUARANTINE_RETRY_AFTER)
 
-    def _refuse_unplaced(
-        self, reason: str = "no_upstream", retry_after: timedelta = RETRY_SOON
+    def _refuse_without_upstream(
+        self, reason: str = "no_upstream", retry_after: timedelta = DEFAULT_RETRY_AFTER
     ) -> None:
-        """Answer a request for which there is no upstream (any more)."""
+        """Answer a request for which there is no upstream, or none left to try."""
         if self._reply.has_begun:
             self._reply.break_off()
         elif self._request.sendings.may_have_run:
-            self._reply.fail(502, reason, UNKNOWN)
+            self._reply.fail(502, reason, OUTCOME_UNKNOWN)
         else:
             self._reply.refuse(reason, retry_after)
--- a/packages/mustardquay-node/src/mustardquay_node/gateway_servers.py
+++ b/packages/mustardquay-node/src/mustardquay_node/gateway_servers.py
@@ -1,4 +1,4 @@
-"""Gateway servers: the ports of a gateway for callers, balancer and metrics."""
+"""The ports of a gateway: for callers, for the load balancer and for metrics."""
 
 from collections.abc import Callable
 
@@ -15,10 +15,10 @@
 
 __all__ = ["GatewayServers"]
 
-BODY_BOUND = 64 * 1024 * 1024
-"""Bytes of a body that tornado takes; the operator's limit is checked before."""
-LISTEN_QUEUE = 512
-"""Connections that wait to be accepted: callers come back together."""
+MAX_BODY_BYTES = 64 * 1024 * 1024
+"""Tornado's limit of a body; the operator's limit is checked before it."""
+LISTEN_BACKLOG = 512
+"""Connections that wait to be accepted; callers reconnect at the same time."""
 METRICS_PATH = "/metrics"
 
 
@@ -26,7 +26,7 @@
     """Listens on the addresses of one gateway."""
 
     def __init__(self, make_room: Callable[[], bool] = lambda: False):
-        """Take `make_room`, which closes what is idle when descriptors run out."""
+        """Take `make_room`, which closes idle connections when descriptors run out."""
         self._make_room = make_room
         self._servers: list[HTTPServer] = []
         self._callers: HTTPServer | None = None
@@ -35,36 +35,36 @@
         self, address: str, delegate: HTTPServerConnectionDelegate
     ) -> str:
         """Listen for callers; returns the address with its real port."""
-        self._callers = HTTPServer(delegate, max_body_size=BODY_BOUND)
+        self._callers = HTTPServer(delegate, max_body_size=MAX_BODY_BYTES)
         return self._listen(self._callers, address)
 
     def serve_readiness(
         self, address: str, path: str, is_ready: Callable[[], bool]
     ) -> None:
-        """Answer the balancer whether callers may be sent here."""
+        """Serve the load balancer's readiness checks."""
         self._serve(address, path, _ReadinessHandler, {"is_ready": is_ready})
 
     def serve_metrics(self, address: str, render: Callable[[], bytes]) -> None:
-        """Serve the page for Prometheus."""
+        """Serve the metrics for Prometheus."""
         self._serve(address, METRICS_PATH, _MetricsHandler, {"render": render})
 
     def apply_limits(self, limits: CallerLimits) -> None:
-        """Use the operator's limits for all that callers send from now on."""
+        """Apply the operator's limits to requests received from now on."""
         if self._callers is None:
             return
-        # Shared by all connections, and read anew for each request.
+        # Shared by all connections, and read again for each request.
         parameters = self._callers.conn_params
         idle = limits.idle_timeout + limits.header_timeout
         parameters.header_timeout = idle.total_seconds()
         parameters.max_header_size = limits.header_bytes
 
     def end_connections(self) -> None:
-        """End each connection that comes with its first answer."""
+        """Close each new connection after its first answer."""
         if self._callers is not None:
             self._callers.conn_params.no_keep_alive = True
 
     def stop_accepting(self) -> None:
-        """Take no more connections of callers."""
+        """Stop accepting connections of callers."""
         if self._callers is not None:
             self._callers.stop()
 
@@ -85,7 +85,7 @@
         host, port = split_address(address)
         sockets = [
             AcceptingSocket(each, self._make_room)
-            for each in bind_sockets(port, host, backlog=LISTEN_QUEUE)
+            for each in bind_sockets(port, host, backlog=LISTEN_BACKLOG)
         ]
         server.add_sockets(sockets)
         self._servers.append(server)
--- a/packages/mustardquay-node/src/mustardquay_node/gateway_stops.py
+++ b/packages/mustardquay-node/src/mustardquay_node/gateway_stops.py
@@ -1,4 +1,4 @@
-"""Gateway stops: the planned end of one gateway, from its signal to its last answer."""
+"""Graceful stop of one gateway, from the signal to the last answer."""
 
 import asyncio
 from collections.abc import Callable
@@ -25,19 +25,19 @@
     find_state,
 )
 
-__all__ = ["RETRY_SOON", "GatewayStop", "StopParts"]
+__all__ = ["DEFAULT_RETRY_AFTER", "GatewayStop", "StopParts"]
 
-LOOK_INTERVAL = timedelta(milliseconds=50)
-"""Time between two looks at whether a gateway that stops can end."""
-RETRY_SOON = timedelta(milliseconds=250)
-"""When a caller is told to come back after a refusal that has no better estimate."""
-RETURN_SPREAD = timedelta(milliseconds=350)
-"""Returns are drawn over this time, so that those refused together don't meet again."""
+CHECK_INTERVAL = timedelta(milliseconds=50)
+"""Time between two checks whether a stopping gateway can exit."""
+DEFAULT_RETRY_AFTER = timedelta(milliseconds=250)
+"""Retry-After of refusals that have no better estimate."""
+RETRY_SPREAD = timedelta(milliseconds=350)
+"""Jitter of retries, so that callers refused together don't retry at the same time."""
 
 
 @dataclass(frozen=True, slots=True)
 class StopParts:
-    """What a stop needs of its process."""
+    """Dependencies of a graceful stop."""
 
     name: str
     availability_zone: str
@@ -46,83 +46,83 @@
     events: EventRing
     count_in_flight: Callable[[], int]
     tell_peers: Callable[[], None]
-    """Has the next digest sent at once."""
+    """Sends the next digest to peers at once."""
     end_keep_alive: Callable[[], None]
-    """Has callers told that their connection ends with the next answer."""
+    """Makes each caller's connection close after its next answer."""
     close_idle: Callable[[], int]
     """Closes the connections on which no request is being read or answered."""
 
 
 class GatewayStop:
-    """Decides what is taken while a gateway stops, and when it has ended."""
+    """Decides which requests a stopping gateway admits, and when it can exit."""
 
     def __init__(self, parts: StopParts):
         self._parts = parts
         self._fleet = FleetBook()
         self._times: StopTimes | None = None
-        self._logged = StopState.SERVING
+        self._logged_state = StopState.SERVING
         self._has_closed = False
 
     @property
     def has_begun(self) -> bool:
-        """Return whether the gateway was told to end."""
+        """Return whether the stop has begun."""
         return self._times is not None
 
     @property
     def ends_in(self) -> timedelta | None:
-        """Return the time that the gateway has at most; None while it serves."""
+        """Return the longest time until the gateway exits; None while it serves."""
         if self._times is None:
             return None
         return max(self._times.ends_at - self._parts.clock.monotonic(), timedelta())
 
     @property
     def left(self) -> timedelta:
-        """Return the time to the last answers; zero while nothing stops."""
+        """Return the time until the last answers are due; zero without a stop."""
         if self._times is None:
             return timedelta()
         return self._times.answer_by - self._parts.clock.monotonic()
 
     def hear(self, digest: PeerDigest) -> None:
-        """Take in what another gateway says of itself."""
+        """Process another gateway's digest."""
         self._fleet.hear(digest, self._parts.clock.monotonic())
 
     def admit(self, demand: Demand) -> timedelta | None:
-        """Return when a request that is taken must have begun; None if refused."""
+        """Return by when an admitted request must begin its answer; None if refused."""
         assert self._times is not None
         now = self._parts.clock.monotonic()
         return admit_request(self._find_state(), self._times, now, demand)
 
     def draw_return(self, longest: timedelta) -> timedelta:
-        """Return when a caller that gets no answer should come back.
+        """Return after what time a caller without an answer should retry.
 
-        There may be nobody to come back to for some seconds, if all gateways stop.
+        If all gateways stop, none may be available for some seconds.
         """
         if self._times is None:
-            return RETRY_SOON
+            return DEFAULT_RETRY_AFTER
         now = self._parts.clock.monotonic()
         members = self._fleet.list_members(now)
         back = find_return(members, self._times.ends_at, longest, now)
-        return back + RETURN_SPREAD * self._parts.random.random()
+        return back + RETRY_SPREAD * self._parts.random.random()
 
     async def run(self, time_to_drain: timedelta) -> None:
-        """Let what runs end, within the time to drain."""
+        """Wait for running requests to end, within the time to drain."""
         now = self._parts.clock.monotonic()
         self._times = StopTimes(now, now + time_to_drain)
-        self._parts.events.record("drain.started", requests=self._count())
+        self._parts.events.record("drain.started", requests=self._count_in_flight())
         self._parts.end_keep_alive()
         self._parts.tell_peers()
         while (state := self._find_state()) is not StopState.CLOSED:
             self._enter(state)
             if state is StopState.LAST_CALLS:
-                # Callers on open connections are sent to gateways that are ready; it
-                # costs them no attempt, as nothing was read from them.
+                # Callers on idle connections reconnect to gateways that are ready. It
+                # costs them no attempt, as no request was read from them.
                 self._parts.close_idle()
-            await asyncio.sleep(LOOK_INTERVAL.total_seconds())
-        # Kept, as the end takes a while: a request whose body becomes whole in it would
-        # make the gateway one with something to do again, be taken, and be cut off.
+            await asyncio.sleep(CHECK_INTERVAL.total_seconds())
+        # The state stays closed from here on. Otherwise a request whose body completes
+        # during the shutdown would reopen the gateway, be admitted, and be cut off.
         self._has_closed = True
         self._enter(state)
-        self._parts.events.record("drain.ended", requests=self._count())
+        self._parts.events.record("drain.ended", requests=self._count_in_flight())
 
     def _find_state(self) -> StopState:
         if self._times is None:
@@ -131,7 +131,7 @@
             return StopState.CLOSED
         now = self._parts.clock.monotonic()
         place = self._find_place(self._fleet.list_members(now))
-        return find_state(self._times, now, self._count(), place)
+        return find_state(self._times, now, self._count_in_flight(), place)
 
     def _find_place(self, members: list[Member]) -> StopPlace:
         return StopPlace(
@@ -140,17 +140,17 @@
         )
 
     def _enter(self, state: StopState) -> None:
-        if state is self._logged:
+        if state is self._logged_state:
             return
-        self._logged = state
+        self._logged_state = state
         members = self._fleet.list_members(self._parts.clock.monotonic())
         self._parts.events.record(
             "drain.state",
             state=state.value,
-            requests=self._count(),
+            requests=self._count_in_flight(),
             left_ms=round(self.left.total_seconds() * 1000),
             gateways={each.name: each.state.value for each in members},
         )
 
-    def _count(self) -> int:
+    def _count_in_flight(self) -> int:
         return self._parts.count_in_flight()
--- a/packages/mustardquay-node/src/mustardquay_node/gateway_upstreams.py
+++ b/packages/mustardquay-node/src/mustardquay_node/gateway_upstreams.py
@@ -1,4 +1,4 @@
-"""Gateway upstreams: what one gateway knows of upstreams, and how it reaches them."""
+"""State of the upstreams as one gateway sees it, and its connections to them."""
 
 from collections.abc import Callable, Mapping, Sequence
 from dataclasses import dataclass
@@ -28,7 +28,7 @@
 
 @dataclass(frozen=True, slots=True)
 class UpstreamParts:
-    """What the knowledge of upstreams needs of its process."""
+    """Dependencies of `GatewayUpstreams`."""
 
     adapter: Adapter
     clock: Clock
@@ -38,17 +38,17 @@
     """Returns the configuration in force."""
     count_gateways: Callable[[], int]
     note_change: Callable[[], None]
-    """Hears that the work to be told to other gateways has changed."""
+    """Called when the work that is announced to other gateways has changed."""
     close_idle_callers: Callable[[], int]
-    """Closes idle connections of callers, and returns how many."""
+    """Closes idle connections of callers; returns how many."""
 
 
 class GatewayUpstreams:
-    """The books of upstreams that the parts of one gateway share."""
+    """State of upstreams that the components of one gateway share."""
 
     def __init__(self, settings: GatewaySettings, parts: UpstreamParts):
         self._parts = parts
-        # Connections to upstreams are most of what a gateway opens.
+        # Connections to upstreams use most of a gateway's descriptors.
         self._descriptors = DescriptorGuard(parts.clock, parts.events)
         self.list = UpstreamList()
         self.loads = LoadBook()
@@ -61,7 +61,7 @@
             count_gateways=parts.count_gateways,
             find_limit=self._find_connection_limit,
             note_unreachable=self._note_unreachable,
-            # Callers' last: each may be about to send its next request.
+            # Callers' connections last: each may be about to send its next request.
             free_descriptors=lambda: self._descriptors.make_room(
                 self.pools.close_idle, parts.close_idle_callers
             ),
@@ -81,36 +81,36 @@
         await self.pools.close()
 
     def take_bounds(self, bounds: BoundsSettings) -> None:
-        """Use other bounds from now on."""
+        """Apply other bounds from now on."""
         self.pools.retry_limits = _make_retry_limits(bounds)
 
     def make_room(self) -> bool:
         """Close idle connections to upstreams; returns whether there were any.
 
-        For callers who come when there are no descriptors left.
+        Used to accept callers when there are no descriptors left.
         """
         return self._descriptors.make_room(self.pools.close_idle)
 
     def is_lost(self, id: str) -> bool:
-        """Return whether an upstream has been out of reach for long."""
+        """Return whether an upstream has been unreachable for long."""
         return self.loads.is_lost(id, self._now)
 
     def measure_capacities(
         self, engines: Sequence[UpstreamRecord]
     ) -> Mapping[str, float]:
-        """Return which part of their usual work rate limits leave engines."""
+        """Return the share of their usual work that rate limits leave to engines."""
         return self.limits.measure_capacities(engines, self._now)
 
     async def call_engine(
         self, engine: UpstreamRecord, call: EngineCall
     ) -> Exchange | None:
-        """Call an engine beside callers' requests; such calls wait for no turn."""
+        """Call an engine on the gateway's own behalf; does not wait for rate limits."""
         self.limits.note_sent(engine.id, self._now)
         pool = self.pools.get_pool(engine)
         return await call_engine(self._parts.adapter, pool, engine, call)
 
     def forget(self, id: str) -> None:
-        """Drop what is kept of an upstream that is gone or has started anew."""
+        """Drop the state of an upstream that is gone or has restarted."""
         self.crashes.note_lost(id)
         self.pools.forget(id)
         self.loads.forget(id)
--- a/packages/mustardquay-node/src/mustardquay_node/handovers.py
+++ b/packages/mustardquay-node/src/mustardquay_node/handovers.py
@@ -1,4 +1,4 @@
-"""Handovers: one engine reads a prompt, and another one generates from it."""
+"""Disaggregated generations: one engine prefills a prompt, another one decodes."""
 
 from collections.abc import Callable
 from datetime import timedelta
@@ -28,8 +28,9 @@
 
 __all__ = ["drop_reading", "send_generation"]
 
-NOT_TAKEN = (SendEnd.NOT_RUN, SendEnd.NOT_SENT, SendEnd.OTHER_UPSTREAM)
-"""Ends of a hand-over after which the handle is still there, as far as is known."""
+HANDLE_KEPT_ENDS = (SendEnd.NOT_RUN, SendEnd.NOT_SENT, SendEnd.OTHER_UPSTREAM)
+"""Results of a send to the decoding engine after which the handle of the prefill is
+presumably still valid."""
 
 
 async def send_generation(
@@ -40,7 +41,7 @@
     prompt: PromptTraits,
     engines: list[UpstreamRecord],
 ) -> Send | None:
-    """Place a generation and send it; None without an engine or when refused."""
+    """Place a generation and send it; None without an engine or if it was refused."""
     planner = parts.planner
     reading = request.reading
     if reading is not None and _take_up(parts, request, reading, engines):
@@ -49,7 +50,7 @@
         finally:
             planner.end(reading.ticket)
     if request.sendings.offered:
-        placement = _choose(parts, request, prompt, engines)
+        placement = _choose_placement(parts, request, prompt, engines)
         if placement is not None and not admits_turn(request.route, placement):
             return None
     else:
@@ -62,8 +63,8 @@
     ticket = planner.begin(prompt, placement, size, rank)
     try:
         if placement.prefiller is None:
-            return await _generate_alone(parts, request, sender, ticket)
-        read = await _have_read(parts, request, sender, ticket)
+            return await _generate_on_one_engine(parts, request, sender, ticket)
+        read = await _prefill(parts, request, sender, ticket)
         if isinstance(read, Send):
             planner.end_reading(ticket)
             return read
@@ -84,7 +85,7 @@
     reading: KeptReading,
     engines: list[UpstreamRecord],
 ) -> bool:
-    """Have another engine generate from what was read; dropped if none can."""
+    """Choose another engine to decode a kept prefill; drop it if there is none."""
     loss = parts.planner.take_up(reading, engines, request.avoid)
     if loss is not None:
         drop_reading(parts, request, loss)
@@ -101,7 +102,7 @@
 
 
 def drop_reading(parts: ForwarderParts, request: ForwardedRequest, reason: str) -> None:
-    """Give up what was read for a request, and tell it if nothing came of it."""
+    """Discard a request's prefill, and log it if nothing was generated from it."""
     reading, request.reading = request.reading, None
     if reading is None or reading.is_used:
         return
@@ -124,24 +125,25 @@
     prompt: PromptTraits,
     engines: list[UpstreamRecord],
 ) -> Placement | None:
-    """Place a new generation; refuses it if its answer would be of no use.
+    """Place a new generation; refuse it if its answer would come too late.
 
-    Callers who come back wait behind those who can still be answered in time.
+    Retries of refused callers get a lower rank than requests that can still be answered
+    in time.
     """
     now = parts.clock.monotonic()
-    time_left = request.measure_left(now)
+    time_left = request.measure_time_left(now)
     request.is_late = has_returned(request.route, time_left)
     if not request.is_late:
-        placement = _choose(parts, request, prompt, engines)
+        placement = _choose_placement(parts, request, prompt, engines)
         if placement is None:
             return None
         rest = parts.answer_times.find_rest(request.route, now)
         if admits_generation(request.route, placement, time_left, rest):
             request.expected = timedelta(seconds=placement.expected_seconds)
             return placement
-        # Who is told to come back can't be in time either.
+        # A refused caller's retry can't meet the latency target either.
         request.is_late = True
-    placement = _choose(parts, request, prompt, engines)
+    placement = _choose_placement(parts, request, prompt, engines)
     if placement is None:
         return None
     if admits_late(request.route, placement, time_left):
@@ -157,7 +159,7 @@
     return None
 
 
-def _choose(
+def _choose_placement(
     parts: ForwarderParts,
     request: ForwardedRequest,
     prompt: PromptTraits,
@@ -168,16 +170,16 @@
     return parts.planner.choose(prompt, engines, request.avoid, size, rank)
 
 
-async def _generate_alone(
+async def _generate_on_one_engine(
     parts: ForwarderParts, request: ForwardedRequest, sender: Sender, ticket: Ticket
 ) -> Send:
-    """Have one engine read the prompt and generate."""
+    """Have one engine prefill the prompt and decode."""
     placement = ticket.placement
     await await_turn(parts, ticket.reader_turn)
     options = SendOptions(
         patience=limit_first(request.route, placement),
         fetch_from=placement.holder.address if placement.holder else "",
-        read=_note_first(parts, ticket),
+        read=_make_first_event_callback(parts, ticket),
     )
     return await sender.run(placement.decoder, options)
 
@@ -186,10 +188,10 @@
     reading.is_used = True
 
 
-def _note_first(
+def _make_first_event_callback(
     parts: ForwarderParts, ticket: Ticket, reading: KeptReading | None = None
 ) -> Callable[[], None]:
-    """Return what is called when the first event shows that the prompt was read."""
+    """Return the callback for the first event, which ends the prefill."""
     started = parts.clock.monotonic()
 
     def note() -> None:
@@ -201,13 +203,13 @@
     return note
 
 
-async def _have_read(
+async def _prefill(
     parts: ForwarderParts,
     request: ForwardedRequest,
     sender: Sender,
     ticket: Ticket,
 ) -> Prefilled | Send:
-    """Have an engine read the prompt; returns the failed send if it does not."""
+    """Have an engine prefill the prompt; returns the failed send if it does not."""
     placement = ticket.placement
     await await_turn(parts, ticket.reader_turn)
     started = parts.clock.monotonic()
@@ -218,7 +220,7 @@
     )
     send = await sender.run(placement.reader, options)
     took = parts.clock.monotonic() - started
-    _log_read(parts, request, placement, took)
+    _log_prefill(parts, request, placement, took)
     if send.end is SendEnd.ANSWERED and send.status == 200:
         try:
             prefilled = parts.adapter.read_prefilled(send.content)
@@ -227,7 +229,7 @@
         else:
             parts.planner.learn_read(ticket, took)
             return prefilled
-    # Reading a prompt does not run the request, whatever came of it.
+    # A prefill does not count as running the request, whatever its result.
     if send.end is not SendEnd.CALLER_LEFT:
         is_refused = send.end in (SendEnd.NOT_RUN, SendEnd.OTHER_UPSTREAM)
         send.end = SendEnd.NOT_RUN if is_refused else SendEnd.UNREAD
@@ -240,9 +242,9 @@
     sender: Sender,
     reading: KeptReading,
 ) -> Send:
-    """Have the other engine generate from what was read."""
+    """Have the other engine decode from the prefill."""
     send = await _generate_from(parts, request, sender, reading)
-    if send.end not in NOT_TAKEN:
+    if send.end not in HANDLE_KEPT_ENDS:
         reading.is_handle_used = True
     return send
 
@@ -253,12 +255,12 @@
     sender: Sender,
     reading: KeptReading,
 ) -> Send:
-    """Send to the engine that generates, by handle or else by the cached parts.
+    """Send to the decoding engine, by handle or else by copying cached blocks.
 
-    Guards against handles that lapse at once: the engine that generates refuses, and
-    the reading is lost. The engine that read still holds the prompt among its cached
-    parts, so the other one copies it from there; for some seconds nothing else is
-    tried with that engine.
+    Guards against handles that expire at once: the decoding engine refuses them, and
+    the prefill would be lost. The prefilling engine still has the prompt in its cache,
+    so the decoding engine copies it from there. For some seconds after that, prefills
+    of this engine are only copied.
     """
     ticket = reading.ticket
     placement = ticket.placement
@@ -267,7 +269,7 @@
     if not parts.planner.must_copy(reading):
         source = parts.adapter.build_kv_source(address, reading.prefilled)
         options = SendOptions(
-            kv_source=source, read=_note_first(parts, ticket, reading)
+            kv_source=source, read=_make_first_event_callback(parts, ticket, reading)
         )
         send = await sender.run(placement.decoder, options)
         if send.end is not SendEnd.NOT_RUN:
@@ -282,13 +284,13 @@
     return await sender.run(placement.decoder, options)
 
 
-def _log_read(
+def _log_prefill(
     parts: ForwarderParts,
     request: ForwardedRequest,
     placement: Placement,
     took: timedelta,
 ) -> None:
-    """Note how long a prompt took to be read, beside what was expected."""
+    """Log the measured and the expected duration of a prefill."""
     now = parts.clock.monotonic()
     parts.events.record(
         "prompt.read",
--- a/packages/mustardquay-node/src/mustardquay_node/hop_headers.py
+++ b/packages/mustardquay-node/src/mustardquay_node/hop_headers.py
@@ -1,4 +1,4 @@
-"""Hop headers: what concerns one connection and is not passed on to the next."""
+"""Hop-by-hop headers, which apply to one connection and are not forwarded."""
 
 from tornado.httputil import HTTPHeaders
 
@@ -19,12 +19,12 @@
         "upgrade",
     }
 )
-"""Headers of one connection (RFC 9110, section 7.6.1), and the length, which is
-counted anew."""
+"""Headers of one connection (RFC 9110, section 7.6.1), and the length, which is set
+again for each hop."""
 
 
 def strip_hop_headers(headers: HTTPHeaders) -> HTTPHeaders:
-    """Return the headers that go on, without those that `Connection` names."""
+    """Return the headers to forward, also without those listed in `Connection`."""
     named = {name.strip().lower() for name in headers.get("Connection", "").split(",")}
     dropped = HOP_HEADERS | named
     kept = HTTPHeaders()
--- a/packages/mustardquay-node/src/mustardquay_node/keys.py
+++ b/packages/mustardquay-node/src/mustardquay_node/keys.py
@@ -1,4 +1,4 @@
-"""Keys: the one table of all settings, with default, unit and meaning."""
+"""The table of all settings, with their defaults, units and meanings."""
 
 from dataclasses import dataclass
 
@@ -19,12 +19,12 @@
     "service:NAME": "Which calls of the plain service NAME are idempotent; read by "
     "entries.",
 }
-"""Meaning of each section, in the order of the documentation."""
+"""Meaning of each section, in the order of the documentation page."""
 
 
 @dataclass(frozen=True, slots=True)
 class Key:
-    """One key of a section; a default of None means that it must be given."""
+    """One key of a section; it is required if its default is None."""
 
     section: str
     name: str
@@ -379,4 +379,4 @@
     }
     for section in SECTIONS
 }
-"""Defaults by section and key, as they would stand in a file."""
+"""Defaults by section and key, as strings like in a file."""
--- a/packages/mustardquay-node/src/mustardquay_node/logs.py
+++ b/packages/mustardquay-node/src/mustardquay_node/logs.py
@@ -1,4 +1,4 @@
-"""Logs: JSON lines on standard output, by eliot, that never hold up the loop."""
+"""Logging of JSON lines to standard output by eliot, without blocking the loop."""
 
 import logging
 import sys
@@ -17,34 +17,34 @@
 __all__ = ["DROPPED_MESSAGE", "EVENT_MESSAGE", "LineWriter", "Logs", "write_event"]
 
 EVENT_MESSAGE = "mustardquay:event"
-"""Message type of the lines that hold an event of the time line."""
+"""Message type of lines that hold an event of the time line."""
 
 DROPPED_MESSAGE = "mustardquay:dropped"
-"""Message type of a line that says how many lines were dropped since the start."""
+"""Message type of lines with the number of lines dropped since the start."""
 
 _TYPE = "message_type"
 _CAPACITY = 10_000
 _CLOSE_TIMEOUT = 2.0
-_GATHER_TIME = 0.01
-"""Seconds; a process that is killed loses its lines of so long."""
-_LINES_TOGETHER = 1000
+_BATCH_DELAY = 0.01
+"""Seconds; a process that is killed loses the lines of this time."""
+_BATCH_LINES = 1000
 
 
 def write_event(event: Event) -> None:
-    """Log an event of the time line, so that log files can be merged back."""
+    """Log an event of the time line, so that log files can be merged into one."""
     eliot.log_message(message_type=EVENT_MESSAGE, **describe_event(event))
 
 
 class LineWriter:
-    """An eliot destination that writes JSON lines from a thread of its own.
+    """An eliot destination that writes JSON lines from a separate thread.
 
-    Failure: whoever reads the process's output stops reading. The pipe fills, and
-    a write from the event loop would freeze every request. Here only the thread
-    waits; lines beyond the capacity are dropped, and once lines pass again one of
-    type `mustardquay:dropped` says how many.
+    If the reader of the process's output stops reading, the pipe fills, and a write
+    from the event loop would block all requests. Here only the thread blocks. Lines
+    beyond the capacity are dropped, and when writes succeed again, a line of type
+    `mustardquay:dropped` has their number.
 
-    The thread gathers lines for some milliseconds before it writes them together:
-    waking it and writing for each line took more time than making the line.
+    The thread collects lines for some milliseconds and writes them as a batch: waking
+    it and writing for each line took more time than making the line.
     """
 
     def __init__(self, file: BinaryIO, capacity: int = _CAPACITY):
@@ -55,7 +55,7 @@
         self._closing = Signal()
         self._thread = Thread(target=self._write_lines, daemon=True)
         self._dropped = 0
-        self._told = 0
+        self._reported = 0
 
     @property
     def dropped(self) -> int:
@@ -72,7 +72,7 @@
             self._has_lines.set()
 
     def start(self) -> None:
-        """Start the thread that writes."""
+        """Start the writing thread."""
         self._thread.start()
 
     def close(self) -> None:
@@ -84,33 +84,33 @@
     def _write_lines(self) -> None:
         while not self._closing.is_set():
             self._has_lines.wait()
-            self._closing.wait(_GATHER_TIME)
-            # Cleared before the lines are taken, so that one which is queued in
-            # between is written now and wakes the thread once more for nothing,
-            # and none is left behind.
+            self._closing.wait(_BATCH_DELAY)
+            # Cleared before the lines are taken: a line that is queued in between is
+            # written now and wakes the thread once more without need. Cleared later,
+            # such a line could stay in the queue.
             self._has_lines.clear()
             while self._lines:
-                self._write_together(self._take_lines())
+                self._write_batch(self._take_batch())
 
-    def _take_lines(self) -> list[bytes]:
-        count = min(len(self._lines), _LINES_TOGETHER)
+    def _take_batch(self) -> list[bytes]:
+        count = min(len(self._lines), _BATCH_LINES)
         return [self._lines.popleft() for _ in range(count)]
 
-    def _write_together(self, lines: list[bytes]) -> None:
+    def _write_batch(self, lines: list[bytes]) -> None:
         try:
             self._write(b"".join(lines))
         except (OSError, ValueError):
             self._dropped += len(lines)
             return
-        if self._told < self._dropped:
-            self._tell_dropped(self._dropped)
+        if self._reported < self._dropped:
+            self._report_dropped(self._dropped)
 
-    def _tell_dropped(self, count: int) -> None:
+    def _report_dropped(self, count: int) -> None:
         try:
             self._write(_encode({_TYPE: DROPPED_MESSAGE, "lines": count}))
         except (OSError, ValueError):
             return
-        self._told = count
+        self._reported = count
 
     def _write(self, data: bytes) -> None:
         rest = memoryview(data)
@@ -123,8 +123,8 @@
 
 
 def _open_output() -> BinaryIO:
-    # Without a buffer, whose lock a thread that waits on a full pipe would still
-    # hold when the interpreter ends, which aborts the process.
+    # Unbuffered: a thread that blocks on a full pipe would still hold the buffer's lock
+    # when the interpreter exits, which aborts the process.
     return open(sys.stdout.fileno(), "wb", buffering=0, closefd=False)
 
 
@@ -150,7 +150,7 @@
         root.addHandler(self._handler)
 
     def close(self) -> None:
-        """Write what is queued and let go of the file."""
+        """Write what is queued and stop logging to the file."""
         logging.getLogger().removeHandler(self._handler)
         eliot.remove_destination(self._writer)
         self._writer.close()
--- a/packages/mustardquay-node/src/mustardquay_node/pauses.py
+++ b/packages/mustardquay-node/src/mustardquay_node/pauses.py
@@ -1,10 +1,10 @@
-"""Pauses: limits on waits that leave out the time in which this process did not run.
+"""Timeouts that leave out the time in which this process was paused.
 
-A process that was stopped, or starved of processor time, wakes with its timers due and
-with what its peers sent meanwhile unread in its sockets. The timers come first, so a
-limit in plain time ends every wait as it wakes, although its peers were well. Here a
-limit is counted in steps, and a step that ends late is not counted: behind it comes at
-least one in which the loop reads what waits.
+A process that was stopped, or starved of processor time, resumes with expired timers
+and with unread data in its sockets. The event loop runs the timers first, so ordinary
+timeouts would end every wait, although the peers did answer. These timeouts are counted
+in steps, and a step that ends late is not counted: at least one more step follows, in
+which the loop reads the data.
 """
 
 import asyncio
@@ -14,30 +14,30 @@
 from math import ceil
 from typing import Any
 
-__all__ = ["AwakeTimer", "PauseMeter", "SilenceLimit", "awake_timeout"]
+__all__ = ["RunningTimer", "PauseMeter", "SilenceLimit", "running_timeout"]
 
-STEP = timedelta(milliseconds=100)
-"""Longest step. Events of a stream come 50 to 110 ms apart, so that one that flows
-seldom takes a whole step."""
-PAUSE = timedelta(milliseconds=100)
-"""Lateness of a step from which the process counts as paused. A loop that starts a
-whole site in one process runs up to 40 ms late."""
+MAX_STEP = timedelta(milliseconds=100)
+"""Longest step of a timeout. Events of a stream come 50 to 110 ms apart, so an active
+stream seldom completes a step."""
+PAUSE_THRESHOLD = timedelta(milliseconds=100)
+"""A process counts as paused if a step ends later than this. An event loop that starts
+a whole site in one process runs up to 40 ms late."""
 
 
-class AwakeTimer:
-    """Calls back once after a time in which this process ran."""
+class RunningTimer:
+    """Calls back once after this process has run for a given time."""
 
     __slots__ = ("_callback", "_due", "_handle", "_left", "_loop", "_seconds")
 
     def __init__(self, limit: timedelta, callback: Callable[[], None]):
         self._loop = asyncio.get_running_loop()
         self._callback = callback
-        self._left = max(ceil(limit / STEP), 1)
+        self._left = max(ceil(limit / MAX_STEP), 1)
         self._seconds = limit.total_seconds() / self._left
         self._begin_step()
 
     def cancel(self) -> None:
-        """Don't call back any more."""
+        """Cancel the callback."""
         self._handle.cancel()
 
     def _begin_step(self) -> None:
@@ -45,7 +45,7 @@
         self._handle = self._loop.call_at(self._due, self._end_step)
 
     def _end_step(self) -> None:
-        if self._loop.time() - self._due <= PAUSE.total_seconds():
+        if self._loop.time() - self._due <= PAUSE_THRESHOLD.total_seconds():
             self._left -= 1
         if self._left:
             self._begin_step()
@@ -54,7 +54,7 @@
 
 
 class PauseMeter:
-    """Measures for how long this process did not run, until it is closed."""
+    """Measures how long this process was paused, until it is closed."""
 
     def __init__(self) -> None:
         self._loop = asyncio.get_running_loop()
@@ -63,16 +63,16 @@
 
     @property
     def lost(self) -> timedelta:
-        """Return the time lost so far, also in a pause that has just ended."""
+        """Return the time lost to pauses, including one that has just ended."""
         return timedelta(seconds=self._lost + self._measure_step())
 
     def close(self) -> None:
-        """Measure no more."""
+        """Stop measuring."""
         self._handle.cancel()
 
     def _begin_step(self) -> None:
         self._begun = self._loop.time()
-        self._handle = self._loop.call_later(STEP.total_seconds(), self._end_step)
+        self._handle = self._loop.call_later(MAX_STEP.total_seconds(), self._end_step)
 
     def _end_step(self) -> None:
         self._lost += self._measure_step()
@@ -81,19 +81,19 @@
     def _measure_step(self) -> float:
         """Return the seconds that the step has taken so far, 0 if it isn't late.
 
-        All of them: where in its step the process was paused is not known, and of
-        pauses in a row each would go unseen for up to a step.
+        A late step counts whole. When the pause began within it is not known, and with
+        pauses in a row, up to a step of each would be missed.
         """
         taken = self._loop.time() - self._begun
-        return taken if taken > (STEP + PAUSE).total_seconds() else 0.0
+        return taken if taken > (MAX_STEP + PAUSE_THRESHOLD).total_seconds() else 0.0
 
 
 @asynccontextmanager
-async def awake_timeout(limit: timedelta) -> AsyncIterator[None]:
-    """Raise `TimeoutError` after a time in which this process ran."""
+async def running_timeout(limit: timedelta) -> AsyncIterator[None]:
+    """Raise `TimeoutError` in the block after this process has run for a given time."""
     loop = asyncio.get_running_loop()
     async with asyncio.timeout(None) as scope:
-        timer = AwakeTimer(limit, lambda: scope.reschedule(loop.time()))
+        timer = RunningTimer(limit, lambda: scope.reschedule(loop.time()))
         try:
             yield
         finally:
@@ -101,18 +101,18 @@
 
 
 class SilenceLimit:
-    """Raises `TimeoutError` in its block after a time in which nothing was noted.
+    """Raises `TimeoutError` in its block after a time without a call of `note`.
 
-    Guards against limits on the whole of a long answer, by which one that comes
-    steadily over a narrow link is ended, asked for again, and ended again.
+    A timeout for a whole long answer would end one that arrives steadily over a slow
+    link, and then each retry of it.
     """
 
     def __init__(self, first: timedelta, between: timedelta):
-        """Take the limits before anything is noted and after that."""
+        """Take the timeouts until the first call of `note` and between calls."""
         self._limit = first
         self._between = between
         self._scope = asyncio.timeout(None)
-        self._timer: AwakeTimer | None = None
+        self._timer: RunningTimer | None = None
 
     async def __aenter__(self) -> "SilenceLimit":
         await self._scope.__aenter__()
@@ -124,14 +124,14 @@
         return await self._scope.__aexit__(*error)
 
     def note(self) -> None:
-        """Note that something has come."""
+        """Restart the timeout, as data has arrived."""
         self._limit = self._between
         if self._timer is not None:
             self._timer.cancel()
             self._begin()
 
     def _begin(self) -> None:
-        self._timer = AwakeTimer(self._limit, self._end)
+        self._timer = RunningTimer(self._limit, self._end)
 
     def _end(self) -> None:
         self._scope.reschedule(asyncio.get_running_loop().time())
--- a/packages/mustardquay-node/src/mustardquay_node/rate_turns.py
+++ b/packages/mustardquay-node/src/mustardquay_node/rate_turns.py
@@ -1,4 +1,4 @@
-"""Rate turns: how a request waits until the rate limit of its upstream lets it go."""
+"""Waiting until the rate limit of an upstream allows a request."""
 
 import asyncio
 from datetime import timedelta
@@ -11,7 +11,7 @@
 
 
 async def await_turn(parts: ForwarderParts, turn: Turn) -> None:
-    """Wait until a turn comes, and use it."""
+    """Wait until the time of a reserved turn, and mark the turn as used."""
     left = turn.at - parts.clock.monotonic()
     if left > timedelta():
         await asyncio.sleep(left.total_seconds())
--- a/packages/mustardquay-node/src/mustardquay_node/sends.py
+++ b/packages/mustardquay-node/src/mustardquay_node/sends.py
@@ -1,4 +1,4 @@
-"""Sends: one request to one upstream, and how that ended."""
+"""Send one request to one upstream, and classify the result."""
 
 import asyncio
 from collections.abc import Awaitable, Callable
@@ -13,46 +13,45 @@
 
 from .adapters import AnswerFacts, SendTarget
 from .connections import AnswerHead, Exchange, ExchangeEnd
-from .event_cuts import EventCutter, count_ends
+from .event_framers import EventFramer, count_event_ends
 from .forwarder_parts import ForwardedRequest, ForwarderParts
-from .pauses import AwakeTimer
+from .pauses import RunningTimer
 from .replies import Reply
 
 __all__ = ["Send", "SendOptions", "Sender"]
 
-ONCE_IDLE = timedelta(milliseconds=400)
-"""Age up to which kept connections carry requests that must not be repeated. Upstreams
-close theirs after some 1.5 s of idleness, and may do so sooner."""
-SILENCE_STEP = timedelta(milliseconds=200)
-"""Time until an engine that lives and has sent nothing for a request is looked at
-again."""
-LEAST_EVENTS = 3
-"""Events of a stream up from which their mean distance is a measurement: the last one
-may come early."""
-SERVER_ERRORS = 500
-"""The lowest status by which an upstream says that it failed."""
+NON_IDEMPOTENT_IDLE_LIMIT = timedelta(milliseconds=400)
+"""Idle time up to which a connection is reused for requests that must not be repeated.
+Upstreams close idle connections after some 1.5 s, and may do so sooner."""
+SILENCE_RECHECK_INTERVAL = timedelta(milliseconds=200)
+"""Time until a live engine that has sent nothing for a request is checked again."""
+MIN_EVENTS = 3
+"""Least events of a stream from which their mean interval is measured: the last one may
+come early."""
+MIN_SERVER_ERROR_STATUS = 500
+"""The lowest status of a server error."""
 
 
 @dataclass(slots=True)
 class Send:
-    """One send and what came of it."""
+    """One send and its result."""
 
     upstream: UpstreamRecord
     facts: AnswerFacts | None = None
     head: AnswerHead | None = None
     content: bytes = b""
-    """The body, unless it was passed on as a stream."""
+    """The body, unless it was streamed to the caller."""
     end: SendEnd = SendEnd.NOT_SENT
     detail: str = ""
-    was_kept: bool = False
+    was_reused: bool = False
     """Whether the connection had been used before."""
     passed: bool = False
-    """Whether the caller has got a part of this answer."""
+    """Whether a part of this answer was passed on to the caller."""
     first_at: timedelta | None = None
-    """When the first part of a stream came."""
+    """When the first part of a stream was received, on the monotonic clock."""
     last_at: timedelta = timedelta()
     events: int = 0
-    """Events of a stream that have come."""
+    """Events of a stream that were received."""
 
     @property
     def status(self) -> int:
@@ -62,70 +61,74 @@
 
 @dataclass(frozen=True, slots=True)
 class SendOptions:
-    """What a send asks of an engine beside the request."""
+    """Options of a send to an engine beside the request."""
 
     prefill_only: bool = False
-    """Only have the prompt read."""
+    """Only prefill the prompt."""
     kv_source: str = ""
-    """Where the engine fetches the prompt that another one has read."""
+    """Where the engine fetches the KV cache of a prompt that another one prefilled."""
     fetch_from: str = ""
-    """Address of an engine whose cached parts are copied first."""
+    """Address of an engine whose cached blocks are copied first."""
     read: Callable[[], None] = lambda: None
-    """Called when the first part of a stream shows that the prompt has been read."""
+    """Called with the first part of a stream, by which the prefill has ended."""
     patience: timedelta | None = None
-    """How long the upstream may be silent at first; None for the route's limit."""
+    """Timeout for the first part of the answer; None for the route's idle timeout."""
 
 
-PLAIN = SendOptions()
+DEFAULT_OPTIONS = SendOptions()
 
 
 class Sender:
-    """Sends one request, as often as it is told to."""
+    """Sends one request, once for each call of `run`."""
 
     def __init__(self, parts: ForwarderParts, request: ForwardedRequest, reply: Reply):
         self._parts = parts
         self._request = request
         self._reply = reply
-        self._cutter = EventCutter()
-        self._silence: AwakeTimer | None = None
+        self._framer = EventFramer()
+        self._silence_timer: RunningTimer | None = None
 
     @property
-    def holds_back(self) -> bool:
-        """Return whether a part of an event waits for its end."""
-        return self._cutter.has_rest
-
-    async def run(self, upstream: UpstreamRecord, options: SendOptions = PLAIN) -> Send:
-        """Send to an upstream and take in or pass on what comes."""
+    def has_partial_event(self) -> bool:
+        """Return whether a part of an event is held back until its end."""
+        return self._framer.has_partial
+
+    async def run(
+        self, upstream: UpstreamRecord, options: SendOptions = DEFAULT_OPTIONS
+    ) -> Send:
+        """Send to an upstream, and buffer the answer or pass it on."""
         request = self._request
         if self._reply.is_caller_gone:
             return Send(upstream, end=SendEnd.CALLER_LEFT)
-        # The stream before may have ended in the middle of an event, and the next
-        # one sends that event whole.
-        self._cutter.drop_rest()
+        # The stream of an earlier send may have ended in the middle of an event; the
+        # next one sends that event whole.
+        self._framer.drop_partial_event()
         send = Send(upstream)
         exchange = self._make_exchange(send, options)
         request.current = exchange
         request.upstream = upstream.id
-        self._watch_silence(options.patience or limit_silence(request.route))
+        self._start_silence_timer(options.patience or limit_silence(request.route))
         self._parts.loads.begin(upstream.id)
         end = ExchangeEnd.CANCELLED
         try:
             pool = self._parts.pools.get_pool(upstream)
             is_once = request.route.repeat is not Repeat.IDEMPOTENT
             is_once = is_once and not options.prefill_only
-            end = await pool.run(exchange, ONCE_IDLE if is_once else None)
+            end = await pool.run(
+                exchange, NON_IDEMPOTENT_IDLE_LIMIT if is_once else None
+            )
         except asyncio.CancelledError:
             if exchange.was_sent and not options.prefill_only:
-                request.was_cut_off = True
+                request.was_interrupted = True
             raise
         finally:
             request.current = None
-            self._unwatch_silence()
-            self._settle(send, exchange, end, options)
+            self._cancel_silence_timer()
+            self._record_end(send, exchange, end, options)
         return send
 
     def log(self, send: Send, step: str) -> None:
-        """Note how a send ended and what follows."""
+        """Log the result of a send and the next step."""
         self._parts.events.record(
             "send.ended",
             request=self._request.id,
@@ -135,7 +138,7 @@
             end=send.end.value,
             detail=send.detail,
             status=send.status,
-            kept=send.was_kept,
+            kept=send.was_reused,
             next=step,
             age_ms=self._reply.age_ms,
             first_ms=self._reply.first_ms,
@@ -146,12 +149,12 @@
         request = self._request
         target = SendTarget(
             upstream_id=send.upstream.id,
-            time_left=request.measure_left(self._parts.clock.monotonic()),
+            time_left=request.measure_time_left(self._parts.clock.monotonic()),
             prefill_only=options.prefill_only,
             kv_source=options.kv_source,
             fetch_from=options.fetch_from,
             resumes_after=request.last_event,
-            urgency=self._rank(options),
+            urgency=self._find_priority(options),
         )
         incoming = request.incoming
         is_stream = request.route.repeat is Repeat.STREAM and not options.prefill_only
@@ -164,16 +167,16 @@
             incoming.path,
             self._parts.adapter.build_headers(incoming.headers, target),
             incoming.body,
-            is_mine=lambda head: self._is_mine(send, head),
+            is_expected=lambda head: self._is_expected_answer(send, head),
             receive=receive if is_stream else None,
         )
 
-    def _rank(self, options: SendOptions) -> int | None:
-        """Return how urgent the request is to an engine; None for plain upstreams.
+    def _find_priority(self, options: SendOptions) -> int | None:
+        """Return the priority of the request at an engine; None for plain upstreams.
 
-        The operator's rank of the route: work of a higher rank gets the places that
-        come free at a full engine first. A late answer waits to be read, but not to be
-        generated: a stream of a low rank is taken apart for others in its middle.
+        It is the operator's rank of the route: a full engine starts requests of a
+        higher rank first. A late request has a lower rank for its prefill only: an
+        engine preempts running streams of a low rank for others.
         """
         request = self._request
         if not request.route.has_prompt:
@@ -181,11 +184,11 @@
         is_late = request.is_late and options.prefill_only
         return rank_generation(request.route, is_late)
 
-    def _is_mine(self, send: Send, head: AnswerHead) -> bool:
-        """Tell whether an answer belongs to this request.
+    def _is_expected_answer(self, send: Send, head: AnswerHead) -> bool:
+        """Return whether an answer belongs to this request.
 
-        Guards against upstreams that send an earlier answer once more: it stands
-        where the next one is expected, and its caller would get another's answer.
+        Guards against upstreams that send an earlier answer twice: the duplicate comes
+        in place of the next answer, and a caller would get another caller's answer.
         """
         facts = self._parts.adapter.read_answer(head)
         if facts.request_id and facts.request_id != self._request.id:
@@ -203,7 +206,7 @@
     def _receive(
         self, send: Send, exchange: Exchange, data: bytes, options: SendOptions
     ) -> Awaitable[None] | None:
-        """Pass on a part of a stream; other answers are kept until they are whole."""
+        """Pass on a part of a stream; buffer other answers until they are complete."""
         now = self._parts.clock.monotonic()
         self._parts.loads.note_heard(send.upstream.id, now)
         if not _is_stream(send, exchange):
@@ -217,39 +220,40 @@
         if send.first_at is None:
             send.first_at = now
         send.last_at = now
-        events = count_ends(data)
+        events = count_event_ends(data)
         send.events += events
         self._reply.events += events
-        self._watch_silence(limit_silence(self._request.route))
+        self._start_silence_timer(limit_silence(self._request.route))
         if self._request.route.resumable:
-            data = self._cutter.feed(data)
-            self._request.last_event = self._cutter.last_id or self._request.last_event
+            data = self._framer.feed(data)
+            self._request.last_event = self._framer.last_id or self._request.last_event
         return self._reply.write(data)
 
-    def _watch_silence(self, limit: timedelta | None) -> None:
-        """End the send if its upstream stays silent, so that the work goes on.
+    def _start_silence_timer(self, limit: timedelta | None) -> None:
+        """Cancel the send when its upstream is silent for too long.
 
-        Guards against a gateway that was paused itself: it would end all its streams
-        as it wakes, with their next events unread, and break off those that have no
-        other send left.
+        The request can then be sent to another one. The timer leaves out pauses of this
+        process: a gateway that was paused would otherwise end all its streams when it
+        resumes, with their next events unread, and abort those without a retry left.
         """
-        self._unwatch_silence()
+        self._cancel_silence_timer()
         if limit is not None:
-            self._silence = AwakeTimer(limit, self._end_silence)
+            self._silence_timer = RunningTimer(limit, self._handle_silence)
 
-    def _unwatch_silence(self) -> None:
-        if self._silence is not None:
-            self._silence.cancel()
-            self._silence = None
+    def _cancel_silence_timer(self) -> None:
+        if self._silence_timer is not None:
+            self._silence_timer.cancel()
+            self._silence_timer = None
 
-    def _end_silence(self) -> None:
+    def _handle_silence(self) -> None:
         current = self._request.current
         if current is None:
             return
         now = self._parts.clock.monotonic()
         if self._parts.loads.is_heard(self._request.upstream, now):
-            # It lives and is busy with others; elsewhere nothing would be sooner.
-            self._watch_silence(SILENCE_STEP)
+            # It is alive and busy with other requests; a retry elsewhere would not be
+            # faster.
+            self._start_silence_timer(SILENCE_RECHECK_INTERVAL)
             return
         self._parts.events.record(
             "upstream.silent",
@@ -259,28 +263,28 @@
         )
         current.cancel()
 
-    def _settle(
+    def _record_end(
         self, send: Send, exchange: Exchange, end: str, options: SendOptions
     ) -> None:
-        """Name the end of a send, and tell the books of it."""
+        """Classify the result of a send, and record it in loads, limits and crashes."""
         send.head = exchange.head
         send.content = exchange.content
-        send.was_kept = exchange.was_kept
+        send.was_reused = exchange.was_reused
         send.detail = end
         send.end = self._classify(send, exchange, end)
         self._parts.count_send(self._reply.route, send.end.value)
         if send.end is SendEnd.ANSWERED and send.passed:
-            self._reply.write(self._cutter.take_rest())
-            self._learn_pause(send)
+            self._reply.write(self._framer.take_partial_event())
+            self._record_event_interval(send)
         self._note_crash(send, end)
         self._note_load(send, end, options)
 
-    def _learn_pause(self, send: Send) -> None:
-        """Tell the books the mean time between the events of a whole stream.
+    def _record_event_interval(self, send: Send) -> None:
+        """Record the mean interval between the events of a complete stream.
 
-        The mean, since several events may come in one read.
+        Single intervals would mislead, as one read may return several events.
         """
-        if send.first_at is None or send.events < LEAST_EVENTS:
+        if send.first_at is None or send.events < MIN_EVENTS:
             return
         pause = (send.last_at - send.first_at) / (send.events - 1)
         self._parts.planner.learn_pause(send.upstream, pause)
@@ -299,7 +303,7 @@
         if send.facts.is_encoded:
             return SendEnd.BROKEN
         if self._reply.has_begun and not send.passed:
-            # A failure in place of the rest of a stream, whose head the caller has.
+            # An error instead of the rest of a stream whose head was already sent.
             return SendEnd.BROKEN
         return SendEnd.ANSWERED
 
@@ -323,7 +327,7 @@
         elif send.end is SendEnd.ANSWERED:
             loads.note_reached(id, now)
         elif send.end in (SendEnd.NOT_RUN, SendEnd.OTHER_UPSTREAM):
-            # An engine that can't fetch a prompt is not to blame for it.
+            # A failed fetch of a prefill is not a fault of the engine that fetches.
             if not options.kv_source:
                 loads.note_refusal(id, now)
         if loads.end(id, _has_failed(send, end), now):
@@ -338,7 +342,7 @@
             loads.note_report(id, running, waiting, now)
 
     def _note_limit(self, send: Send, facts: AnswerFacts) -> None:
-        """Take in the limit that an answer names, or that it names none any more."""
+        """Apply the rate limit in an answer's headers, or its removal."""
         if facts.is_other_upstream:
             return
         id = send.upstream.id
@@ -355,7 +359,7 @@
 
 
 def _is_stream(send: Send, exchange: Exchange) -> bool:
-    """Tell whether an answer is a stream that its caller may be given."""
+    """Return whether an answer is a stream that may be passed on to the caller."""
     head, facts = exchange.head, send.facts
     if head is None or facts is None or head.status != 200:
         return False
@@ -365,4 +369,4 @@
 def _has_failed(send: Send, end: str) -> bool:
     if end == ExchangeEnd.NOT_CONNECTED or send.end is SendEnd.BROKEN:
         return True
-    return send.end is SendEnd.ANSWERED and send.status >= SERVER_ERRORS
+    return send.end is SendEnd.ANSWERED and send.status >= MIN_SERVER_ERROR_STATUS
--- a/packages/mustardquay-node/src/mustardquay_node/settings.py
+++ b/packages/mustardquay-node/src/mustardquay_node/settings.py
@@ -1,7 +1,7 @@
-"""Settings: the INI files of one process, read and checked in one place.
+"""Settings: read and validate the INI files of one process.
 
-The table of keys with their defaults is in `keys`; the models here say which values
-are valid. Durations are in seconds.
+The table of keys with their defaults is in `keys`; the models here define the valid
+values. Durations are in seconds.
 """
 
 from collections.abc import Mapping
@@ -28,7 +28,7 @@
     check_socket_address,
 )
 
-from .crosschecks import check_together
+from .crosschecks import check_combinations
 from .keys import DEFAULTS, KEYS, SECTIONS, SERVICE_PREFIX
 
 if TYPE_CHECKING:
@@ -37,7 +37,7 @@
 __all__ = [
     "DEFAULTS",
     "BoundsSettings",
-    "GatewayPartSettings",
+    "GatewaySectionSettings",
     "GatewaySettings",
     "NodeSettings",
     "Section",
@@ -60,14 +60,14 @@
 class Section(BaseModel):
     """A section of settings, or all the sections of a process."""
 
-    # Built when first used: a process uses the sections of its own kind.
+    # Models are built at their first use, as a process uses only sections of its kind.
     model_config = ConfigDict(
         extra="forbid", frozen=True, hide_input_in_errors=True, defer_build=True
     )
 
 
 class NodeSettings(Section):
-    """Section `node`: what this process is and where it runs."""
+    """Section `node`: identity, kind and location of this process."""
 
     name: Name
     kind: Literal["entry", "agent", "gateway"]
@@ -82,7 +82,7 @@
 
 
 class StoreSettings(Section):
-    """Section `store`: the platform's store, and who speaks its protocol."""
+    """Section `store`: the platform's store, and the adapter for its protocol."""
 
     adapter: Annotated[str, StringConstraints(pattern=r"^[A-Za-z_][A-Za-z0-9_.]*$")]
     address: SocketAddress
@@ -90,8 +90,8 @@
     configuration_wait: Duration
 
 
-class GatewayPartSettings(Section):
-    """Section `gateway`: towards callers and upstreams without agents."""
+class GatewaySectionSettings(Section):
+    """Section `gateway`: connections to callers and to upstreams without agents."""
 
     listen: SocketAddress
     readiness: SocketAddress
@@ -103,7 +103,7 @@
 
 
 class BoundsSettings(Section):
-    """Section `bounds`: what the platform promises and asks."""
+    """Section `bounds`: guarantees and requirements of the platform."""
 
     retry_ratio: Annotated[float, Field(ge=0, le=1)]
     retry_allowance: Annotated[float, Field(ge=0)]
@@ -116,7 +116,7 @@
 
     node: NodeSettings
     store: StoreSettings
-    gateway: GatewayPartSettings
+    gateway: GatewaySectionSettings
     bounds: BoundsSettings
 
 
@@ -130,14 +130,14 @@
 
 @dataclass(slots=True)
 class _Sources:
-    """Which file gave each section and key, to name it in errors."""
+    """Which file set each section and key, for error messages."""
 
     files: list[str] = field(default_factory=list)
     keys: dict[tuple[str, str], str] = field(default_factory=dict)
     sections: dict[str, str] = field(default_factory=dict)
 
     def add(self, source: str, sections: Mapping[str, Mapping[str, str]]) -> None:
-        """Note that `source` gave these sections."""
+        """Record that `source` set these sections."""
         self.files.append(source)
         for section, values in sections.items():
             self.sections[section] = source
@@ -151,10 +151,10 @@
 
 
 def read_settings(*paths: Path) -> "Settings | GatewaySettings":
-    """Read INI files, later ones over earlier ones, and check every key.
+    """Read INI files, of which later ones override earlier ones, and check every key.
 
-    Raises `SettingsError`, which names the file, the section, the key and the
-    remedy of each fault.
+    Raises `SettingsError`, which names the file, the section, the key and the remedy of
+    each fault.
     """
     sources = _Sources()
     merged: dict[str, dict[str, str]] = {}
@@ -206,7 +206,7 @@
         return settings
     faults = [
         f"{sources.locate(section, key)}: {remedy}."
-        for section, key, remedy in check_together(settings)
+        for section, key, remedy in check_combinations(settings)
     ]
     if faults:
         raise SettingsError("\n".join(faults))
@@ -220,7 +220,7 @@
 
 
 def _check_names(sections: Mapping[str, Mapping[str, str]], sources: _Sources) -> None:
-    """Refuse unknown names, also in the section of the other kind of process."""
+    """Refuse unknown names, also in sections that this kind of process doesn't use."""
     faults = []
     for section, values in sections.items():
         known = "service:NAME" if section.startswith(SERVICE_PREFIX) else section
--- a/packages/mustardquay-node/src/mustardquay_node/settings_watches.py
+++ b/packages/mustardquay-node/src/mustardquay_node/settings_watches.py
@@ -1,4 +1,4 @@
-"""Settings watches: the settings files of a gateway, read anew as they change."""
+"""Reload the settings files of a gateway when they change."""
 
 from collections.abc import Callable, Sequence
 from pathlib import Path
@@ -12,7 +12,7 @@
 
 
 class SettingsWatch:
-    """Reads the files when it is told to, and when they have changed by themselves."""
+    """Reads the files again on request, and when a check finds them changed."""
 
     def __init__(
         self,
@@ -21,20 +21,20 @@
         events: EventRing,
         take: Callable[[GatewaySettings], None],
     ):
-        """Take `take`, which hears of settings that differ from those before."""
+        """Take `take`, which is called with settings that differ from the last ones."""
         self._files = tuple(files)
         self._settings = settings
         self._events = events
         self._take = take
-        self._stamps = self._read_stamps()
+        self._file_stamps = self._read_file_stamps()
 
     def look(self) -> None:
         """Read the files again if they have changed."""
-        if self._read_stamps() != self._stamps:
+        if self._read_file_stamps() != self._file_stamps:
             self.reload()
 
     def reload(self) -> None:
-        """Read the files again; settings that can't be used change nothing."""
+        """Read the files again; invalid settings are logged and ignored."""
         if not self._files:
             return
         try:
@@ -43,19 +43,19 @@
             self._events.record("settings.refused", error=str(error))
             return
         changed = settings != self._settings
-        self._stamps = self._read_stamps()
+        self._file_stamps = self._read_file_stamps()
         self._events.record("settings.reloaded", changed=changed)
         if changed and isinstance(settings, GatewaySettings):
             self._settings = settings
             self._take(settings)
 
-    def _read_stamps(self) -> list[tuple[int, int]]:
+    def _read_file_stamps(self) -> list[tuple[int, int]]:
         stamps = []
         for path in self._files:
             try:
                 status = path.stat()
             except OSError:
-                # A file that is being replaced is there again at the next look.
+                # A file that is being replaced exists again at the next check.
                 continue
             stamps.append((status.st_mtime_ns, status.st_size))
         return stamps
--- a/packages/mustardquay-node/src/mustardquay_node/upstream_pools.py
+++ b/packages/mustardquay-node/src/mustardquay_node/upstream_pools.py
@@ -1,4 +1,4 @@
-"""Upstream pools: the connections to upstreams, and what repeats to them cost."""
+"""Connection pools of upstreams, and retry windows of services."""
 
 import asyncio
 from collections.abc import Callable
@@ -12,15 +12,15 @@
 
 __all__ = ["UpstreamPools"]
 
-UPSTREAM_IDLE = timedelta(milliseconds=900)
-"""Kept connections are used up to this age. Upstreams close theirs after some 1.5 s
-of idleness; a request that meets the closing is lost without a trace."""
+UPSTREAM_IDLE_LIMIT = timedelta(milliseconds=900)
+"""Connections are reused up to this idle time. Upstreams close theirs after some 1.5 s;
+a request sent on a connection that is being closed is lost without an error."""
 CONNECTION_SHARE = 0.8
-"""Part of an upstream's connections that all gateways together open."""
-USUAL_CONNECTIONS = 64
-"""Connections to an upstream whose service the configuration does not name (yet)."""
+"""Share of an upstream's connections that all gateways together open."""
+DEFAULT_CONNECTIONS = 64
+"""Connections to an upstream whose service is not in the configuration, or not yet."""
 PROBE_DELAY = timedelta(milliseconds=30)
-"""How long after a broken send its upstream is tried: one that crashes closes its
+"""Time from a broken send to the probe of its upstream: one that crashes closes its
 connections a moment before it stops listening."""
 
 
@@ -39,10 +39,11 @@
     ):
         """Take the limits.
 
-        `processes` is how many gateways may live at once at least, `count_gateways`
-        how many are listed, `find_limit` the connections that an upstream of a service
-        takes, and `note_unreachable` hears of upstreams that a probe does not reach.
-        `free_descriptors` closes what is idle in the process.
+        `processes` is the least number of gateways that may run at once;
+        `count_gateways` returns how many are listed, `find_limit` the connections that
+        an upstream of a service accepts. `note_unreachable` is called for upstreams
+        that a probe can't reach. `free_descriptors` closes idle connections of the
+        process.
         """
         self._free_descriptors = free_descriptors
         self.retry_limits = retry_limits
@@ -66,28 +67,28 @@
             pool.close()
 
     def close_idle(self) -> int:
-        """Close the connections that wait; returns how many."""
+        """Close the idle connections; returns how many."""
         return sum(pool.close_idle() for pool in self._pools.values())
 
     def get_pool(self, upstream: UpstreamRecord) -> ConnectionPool:
-        """Return the connections to an upstream."""
+        """Return the connection pool of an upstream."""
         pool = self._pools.get(upstream.id)
         if pool is None:
-            most = self._find_limit(upstream.service) or USUAL_CONNECTIONS
+            most = self._find_limit(upstream.service) or DEFAULT_CONNECTIONS
             gateways = max(self._count_gateways(), 1)
             limit = max(int(most * CONNECTION_SHARE / gateways), 2)
             pool = ConnectionPool(
                 upstream.address,
                 self._clock,
                 limit,
-                UPSTREAM_IDLE,
+                UPSTREAM_IDLE_LIMIT,
                 self._free_descriptors,
             )
             self._pools[upstream.id] = pool
         return pool
 
     def get_window(self, service: str) -> RetryWindow:
-        """Return the repeats of a service."""
+        """Return the retry window of a service."""
         window = self._windows.get(service)
         if window is None:
             processes = max(self._processes, self._count_gateways())
@@ -102,7 +103,7 @@
             pool.close()
 
     def probe(self, upstream: UpstreamRecord) -> None:
-        """Find out soon whether an upstream on which a send broke can be reached."""
+        """Probe an upstream on which a send broke, after a short delay."""
         if upstream.id not in self._probes:
             task = asyncio.create_task(self._probe(upstream))
             self._probes[upstream.id] = task
--- a/packages/mustardquay-node/tests/test_read_races.py
+++ b/packages/mustardquay-node/tests/test_hedged_reads.py
@@ -7,7 +7,7 @@
 import pytest
 
 from mustardquay.errors import StoreUnavailable
-from mustardquay_node.read_races import MOST_READS, RaceEvents, ReadRace
+from mustardquay_node.hedged_reads import MAX_READS, HedgeCallbacks, HedgedRead
 from mustardquay_standins.virtual_loops import LoopClock, VirtualLoop
 
 HOLD = timedelta(seconds=2)
@@ -40,9 +40,9 @@
     def run(self, hold=HOLD, news_at=None):
         loop = VirtualLoop()
         self.loop = loop
-        race = ReadRace(self.open_read, LoopClock(loop), self.observe())
+        race = HedgedRead(self.open_read, LoopClock(loop), self.observe())
         if news_at is not None:
-            loop.call_later(news_at, race.note_news)
+            loop.call_later(news_at, race.note_change)
         try:
             self.winner = loop.run_until_complete(race.run(hold))
             self.won_at = round(loop.time(), 2)
@@ -54,7 +54,7 @@
         def note_silence():
             self.silences += 1
 
-        return RaceEvents(note_silence, self.ended.append)
+        return HedgeCallbacks(note_silence, self.ended.append)
 
     async def open_read(self, is_first, options):
         number = len(self.begun)
@@ -120,7 +120,7 @@
 
 def test_reads_beside_a_silent_store_are_bounded():
     """Guards against a store that returns from an outage to a crowd of calls."""
-    scripts = [Script(ends=9, fails=True) for _ in range(MOST_READS)]
+    scripts = [Script(ends=9, fails=True) for _ in range(MAX_READS)]
     course = Course([*scripts, Script(ends=0.1)]).run(timedelta())
     assert course.begun == [0.0, 0.8, 1.6, 2.4, 9.0]
 
--- a/packages/mustardquay-node/tests/test_pauses.py
+++ b/packages/mustardquay-node/tests/test_pauses.py
@@ -9,10 +9,10 @@
 from mustardquay.clocks import SystemClock
 from mustardquay_node.connections import ConnectionPool
 from mustardquay_node.pauses import (
-    AwakeTimer,
     PauseMeter,
+    RunningTimer,
     SilenceLimit,
-    awake_timeout,
+    running_timeout,
 )
 from mustardquay_standins.virtual_loops import VirtualLoop
 
@@ -32,7 +32,7 @@
     """Return when a timer calls back that began at 0, with pauses by their start."""
     loop = asyncio.get_running_loop()
     called = asyncio.Event()
-    AwakeTimer(timedelta(seconds=LIMIT), called.set)
+    RunningTimer(timedelta(seconds=LIMIT), called.set)
     for start, seconds in pauses.items():
         loop.call_at(start, loop.pause, seconds)
     await called.wait()
@@ -94,7 +94,7 @@
 
 async def test_a_block_ends_at_its_limit():
     with pytest.raises(TimeoutError):
-        async with awake_timeout(timedelta(milliseconds=20)):
+        async with running_timeout(timedelta(milliseconds=20)):
             await asyncio.sleep(5)
 
 
