--- a/packages/mustardquay-node/src/mustardquay_node/caller_connections.py
+++ b/packages/mustardquay-node/src/mustardquay_node/caller_connections.py
@@ -201,7 +201,7 @@
             connection.stream.close()
         return len(idle)
 
-    async def settle(self, limit: timedelta) -> None:
+    async def drain(self, limit: timedelta) -> None:
         """Wait until each request that was read has its answer, and close connections.
 
         Ends after `limit`, as some callers never send the rest of a request.
--- a/packages/mustardquay-node/src/mustardquay_node/descriptors.py
+++ b/packages/mustardquay-node/src/mustardquay_node/descriptors.py
@@ -36,7 +36,7 @@
         self._events = events
         self._logged_at: timedelta | None = None
 
-    def make_room(self, *sources: Callable[[], int]) -> bool:
+    def free_descriptors(self, *sources: Callable[[], int]) -> bool:
         """Close idle connections; returns whether there were any.
 
         Each source closes connections of one kind and returns how many; the first one
@@ -69,20 +69,20 @@
     accept, and starves all others.
     """
 
-    def __init__(self, listening: socket.socket, make_room: Callable[[], bool]):
+    def __init__(self, listening: socket.socket, free_descriptors: Callable[[], bool]):
         """Take over a listening socket.
 
-        `make_room` closes idle connections, and returns whether there were any.
+        `free_descriptors` closes idle connections, and returns whether there were any.
         """
         super().__init__(fileno=listening.detach())
         self.setblocking(False)
-        self._make_room = make_room
+        self._free_descriptors = free_descriptors
         self._spare = _open_spare()
 
     def accept(self) -> tuple[socket.socket, object]:
         """Accept a connection; raises `BlockingIOError` if it was closed instead."""
         accepted = self._try_accept()
-        if accepted is None and self._make_room():
+        if accepted is None and self._free_descriptors():
             accepted = self._try_accept()
         if accepted is None:
             self._reject_connection()
--- a/packages/mustardquay-node/src/mustardquay_node/digests.py
+++ b/packages/mustardquay-node/src/mustardquay_node/digests.py
@@ -72,7 +72,7 @@
         """
         parts = self._parts
         parts.planner.hear(digest)
-        parts.stop.hear(digest)
+        parts.stop.apply_digest(digest)
         parts.crashes.merge(digest.crashes)
         self._hear_limits(digest)
         if parts.configurations.hear(digest.gateway, digest.configuration):
--- a/packages/mustardquay-node/src/mustardquay_node/feeds.py
+++ b/packages/mustardquay-node/src/mustardquay_node/feeds.py
@@ -15,7 +15,7 @@
 from .hedged_reads import DiscardedRead, HedgeCallbacks, HedgedRead
 from .sleeps import Sleep, sleep as default_sleep
 
-__all__ = ["RETURN_GRACE", "FeedListener", "FeedOptions", "TableFeed"]
+__all__ = ["RESTORE_GRACE", "FeedListener", "FeedOptions", "TableFeed"]
 
 FIRST_RETRY_DELAY = timedelta(milliseconds=100)
 MAX_RETRY_DELAY = timedelta(milliseconds=600)
@@ -23,7 +23,7 @@
 force. With these delays, a process makes some three calls a second during an outage."""
 
 
-RETURN_GRACE = timedelta(seconds=4)
+RESTORE_GRACE = timedelta(seconds=4)
 """How long rows are kept that the store lacks after it was restored from a copy: their
 writers write them again within a few heartbeats."""
 
@@ -48,11 +48,11 @@
 class FeedListener:
     """Callbacks of a feed."""
 
-    take: Callable[[Sequence[StoreRow], bool], None]
+    on_rows: Callable[[Sequence[StoreRow], bool], None]
     """Called with rows, and whether they are all rows of the table."""
-    regained: Callable[[], None] = _do_nothing
+    on_reconnected: Callable[[], None] = _do_nothing
     """Called before the first rows after an outage."""
-    returned: Callable[[], None] = _do_nothing
+    on_restored: Callable[[], None] = _do_nothing
     """Called before the first rows after the store was restored from a copy."""
 
 
@@ -165,11 +165,11 @@
         is_whole = found.is_whole and not is_early
         if is_whole:
             self._grace_until = None
-        self._listener.take(found.page.rows, is_whole)
+        self._listener.on_rows(found.page.rows, is_whole)
         self._position = self._applied_position = position
 
     def _begin_era(self, position: StorePosition) -> None:
-        self._grace_until = self._clock.monotonic() + RETURN_GRACE
+        self._grace_until = self._clock.monotonic() + RESTORE_GRACE
         self._events.record(
             "feed.read_anew",
             table=self._options.table,
@@ -177,7 +177,7 @@
             version=position.version,
             before=self._applied_position.version if self._applied_position else 0,
         )
-        self._listener.returned()
+        self._listener.on_restored()
 
     async def _open_read(self, is_first: bool, options: ReadOptions) -> "_ReadResult":
         """Read the changes; a hedge beside a silent read gets all rows.
@@ -234,7 +234,7 @@
             table=self._options.table,
             away_s=round(away.total_seconds(), 3),
         )
-        self._listener.regained()
+        self._listener.on_reconnected()
 
     def _note_lost(self, error: str) -> None:
         if self._lost_at is None:
--- a/packages/mustardquay-node/src/mustardquay_node/forwarder_parts.py
+++ b/packages/mustardquay-node/src/mustardquay_node/forwarder_dependencies.py
@@ -24,11 +24,11 @@
 from .generators import GenerationPlanner, KeptReading
 from .upstream_pools import UpstreamPools
 
-__all__ = ["ForwardedRequest", "ForwarderParts"]
+__all__ = ["ForwardedRequest", "ForwarderDependencies"]
 
 
 @dataclass(slots=True)
-class ForwarderParts:
+class ForwarderDependencies:
     """Dependencies shared by all requests of one gateway, and callbacks for metrics."""
 
     adapter: Adapter
@@ -43,14 +43,14 @@
     crashes: CrashReporter
     planner: GenerationPlanner
     stop: GatewayStop
-    judge_table: Callable[[], TableState]
+    find_table_state: Callable[[], TableState]
     times: RouteTimes = field(default_factory=RouteTimes)
     answer_times: AnswerTimes = field(default_factory=AnswerTimes)
     count_answer: Callable[[str, str], None] = lambda route, outcome: None
     """Counts an answer by route and outcome."""
     count_send: Callable[[str, str], None] = lambda route, end: None
     """Counts a send by route and by how it ended."""
-    count_unused_reading: Callable[[str], None] = lambda reason: None
+    count_unused_prefill: Callable[[str], None] = lambda reason: None
     """Counts a prefill from which nothing was generated, by the reason."""
     record_first_byte: Callable[[str, timedelta], None] = lambda route, duration: None
 
@@ -68,7 +68,7 @@
     fingerprint: int
     begin_by: timedelta | None = None
     """Deadline of the first part of the answer; None for `deadline`."""
-    sendings: Sendings = field(default_factory=Sendings)
+    send_history: Sendings = field(default_factory=Sendings)
     avoid: set[str] = field(default_factory=set)
     """Upstreams that this request was already sent to."""
     current: Exchange | None = None
@@ -83,7 +83,7 @@
     """Whether a generation can't meet its latency target, so that others go first."""
     expected: timedelta | None = None
     """Expected time to the first event of a generation that was admitted as in time."""
-    reading: KeptReading | None = None
+    prefill: KeptReading | None = None
     """The prefill by another engine than the one that decodes."""
     last_event: str | None = None
     """Id of the last complete event that was sent to the caller."""
--- a/packages/mustardquay-node/src/mustardquay_node/forwarders.py
+++ b/packages/mustardquay-node/src/mustardquay_node/forwarders.py
@@ -5,7 +5,7 @@
 from mustardquay.routing_tables import RoutingTable
 
 from .caller_connections import CallerAnswer, CallerRequest
-from .forwarder_parts import ForwarderParts
+from .forwarder_dependencies import ForwarderDependencies
 from .forwardings import forward
 
 __all__ = ["Forwarder"]
@@ -14,8 +14,8 @@
 class Forwarder:
     """Forwards each request by the configuration in force when it arrived."""
 
-    def __init__(self, parts: ForwarderParts):
-        self._parts = parts
+    def __init__(self, deps: ForwarderDependencies):
+        self._deps = deps
         self._table: RoutingTable | None = None
         self._tasks: set[asyncio.Task[None]] = set()
         self._has_served = False
@@ -42,7 +42,7 @@
     def handle(self, request: CallerRequest, answer: CallerAnswer) -> None:
         """Start a task that forwards a request."""
         self._has_served = True
-        work = forward(self._parts, self._table, request, answer)
+        work = forward(self._deps, self._table, request, answer)
         task = asyncio.create_task(work)
         self._tasks.add(task)
         task.add_done_callback(self._forget_task)
@@ -64,4 +64,4 @@
         self._tasks.discard(task)
         if not task.cancelled() and task.exception() is not None:
             error = repr(task.exception())
-            self._parts.events.record("forwarding.fault", error=error)
+            self._deps.events.record("forwarding.fault", error=error)
--- a/packages/mustardquay-node/src/mustardquay_node/forwardings.py
+++ b/packages/mustardquay-node/src/mustardquay_node/forwardings.py
@@ -20,10 +20,10 @@
 from mustardquay.version_books import TableState
 
 from .caller_connections import CallerAnswer, CallerRequest
-from .forwarder_parts import ForwardedRequest, ForwarderParts
+from .forwarder_dependencies import ForwardedRequest, ForwarderDependencies
 from .gateway_stops import DEFAULT_RETRY_AFTER
-from .handovers import drop_reading, send_generation
-from .rate_turns import await_turn
+from .handovers import drop_prefill, send_generation
+from .rate_reservations import await_reservation
 from .replies import Reply
 from .sends import Send, Sender
 
@@ -42,28 +42,28 @@
 
 
 async def forward(
-    parts: ForwarderParts,
+    deps: ForwarderDependencies,
     table: RoutingTable | None,
     incoming: CallerRequest,
     answer: CallerAnswer,
 ) -> None:
     """Answer one request by the configuration in force when it arrived."""
-    reply = Reply(parts, incoming, answer)
-    request = read_request(parts, table, incoming, reply)
+    reply = Reply(deps, incoming, answer)
+    request = read_request(deps, table, incoming, reply)
     if request is None:
         return
-    if parts.stop.has_begun and not _admit_while_stopping(parts, request, reply):
+    if deps.stop.has_begun and not _admit_while_stopping(deps, request, reply):
         return
-    forwarding = _Forwarding(parts, request, reply)
+    forwarding = _Forwarding(deps, request, reply)
     answer.watch(forwarding.note_caller_left)
     deadline = request.deadline - DEADLINE_MARGIN
     begin_by = min(request.begin_by or deadline, deadline)
-    waiting = parts.times.begin(request.route.name, incoming.received_at)
+    waiting = deps.times.begin(request.route.name, incoming.received_at)
     try:
         async with asyncio.timeout_at(begin_by.total_seconds()) as timer:
             reply.begun = [
                 partial(timer.reschedule, deadline.total_seconds()),
-                partial(parts.times.end, waiting),
+                partial(deps.times.end, waiting),
             ]
             await forwarding.run()
     except TimeoutError:
@@ -79,12 +79,12 @@
             reply.fail(502, "fault", OUTCOME_UNKNOWN)
         raise
     finally:
-        parts.times.end(waiting)
-        drop_reading(parts, request, request.last_end)
+        deps.times.end(waiting)
+        drop_prefill(deps, request, request.last_end)
 
 
 def read_request(
-    parts: ForwarderParts,
+    deps: ForwarderDependencies,
     table: RoutingTable | None,
     incoming: CallerRequest,
     reply: Reply,
@@ -94,7 +94,7 @@
         reply.refuse("no_configuration", DEFAULT_RETRY_AFTER)
         return None
     reply.version = table.version
-    state = parts.judge_table()
+    state = deps.find_table_state()
     if state is TableState.OUTDATED:
         reply.refuse("outdated", DEFAULT_RETRY_AFTER)
         return None
@@ -108,17 +108,17 @@
         return None
     reply.route = route.name
     try:
-        facts = parts.adapter.read_request(incoming.headers)
+        facts = deps.adapter.read_request(incoming.headers)
     except ProtocolError as error:
         reply.fail(400, "bad_headers", str(error))
         return None
     reply.request = facts.id
-    service = choose_backend(route.backends, parts.random.random())
+    service = choose_backend(route.backends, deps.random.random())
     if service is None:
         reply.refuse("no_service", DEFAULT_RETRY_AFTER)
         return None
-    parts.pools.get_window(service).count_request(incoming.received_at)
-    parts.limits.demand.count_request(service, incoming.received_at)
+    deps.pools.get_window(service).count_request(incoming.received_at)
+    deps.limits.demand.count_request(service, incoming.received_at)
     allowed = route.timeout
     if facts.time_allowed is not None:
         allowed = min(allowed, facts.time_allowed)
@@ -128,7 +128,7 @@
         route,
         service,
         deadline=incoming.received_at + allowed,
-        fingerprint=parts.crashes.take_fingerprint(
+        fingerprint=deps.crashes.take_fingerprint(
             incoming.method, incoming.path, incoming.body
         ),
         last_event=facts.resumes_after,
@@ -136,22 +136,22 @@
 
 
 def _admit_while_stopping(
-    parts: ForwarderParts, request: ForwardedRequest, reply: Reply
+    deps: ForwarderDependencies, request: ForwardedRequest, reply: Reply
 ) -> bool:
     """Admit or refuse a request that arrives during a graceful stop.
 
     Returns whether it is admitted.
     """
-    demand = _estimate_demand(parts, request)
+    demand = _estimate_demand(deps, request)
     inputs = {
         "expected_ms": round(demand.expected.total_seconds() * 1000),
-        "left_ms": round(parts.stop.left.total_seconds() * 1000),
+        "left_ms": round(deps.stop.time_left.total_seconds() * 1000),
     }
-    request.begin_by = parts.stop.admit(demand)
+    request.begin_by = deps.stop.admit(demand)
     if request.begin_by is None:
-        reply.refuse("stopping", parts.stop.draw_return(demand.expected), **inputs)
+        reply.refuse("stopping", deps.stop.draw_retry_delay(demand.expected), **inputs)
         return False
-    parts.events.record(
+    deps.events.record(
         "drain.taken",
         request=request.id,
         route=request.route.name,
@@ -161,11 +161,11 @@
     return True
 
 
-def _estimate_demand(parts: ForwarderParts, request: ForwardedRequest) -> Demand:
-    now = parts.clock.monotonic()
+def _estimate_demand(deps: ForwarderDependencies, request: ForwardedRequest) -> Demand:
+    now = deps.clock.monotonic()
     return Demand(
         request.measure_time_left(now),
-        parts.times.find_longest(request.route.name, now),
+        deps.times.find_longest(request.route.name, now),
         request.max_output_tokens,
         request.route.repeat is Repeat.STREAM,
         request.route.resumable,
@@ -175,16 +175,18 @@
 class _Forwarding:
     """Sends one request, with retries, until its caller has an answer."""
 
-    def __init__(self, parts: ForwarderParts, request: ForwardedRequest, reply: Reply):
-        self._parts = parts
+    def __init__(
+        self, deps: ForwarderDependencies, request: ForwardedRequest, reply: Reply
+    ):
+        self._deps = deps
         self._request = request
         self._reply = reply
-        self._sender = Sender(parts, request, reply)
+        self._sender = Sender(deps, request, reply)
 
     async def run(self) -> None:
         """Send, and retry where that is allowed and can succeed."""
         while not self._reply.is_caller_gone:
-            if self._parts.crashes.is_refused(self._request.fingerprint):
+            if self._deps.crashes.is_refused(self._request.fingerprint):
                 self._refuse_quarantined()
                 return
             send = await self._send()
@@ -192,9 +194,9 @@
                 if not self._reply.has_ended:
                     self._refuse_without_upstream()
                 return
-            self._request.sendings.note(send.end)
+            self._request.send_history.note(send.end)
             self._request.last_end = send.end.value
-            self._request.sendings.events_passed = self._reply.has_begun
+            self._request.send_history.events_passed = self._reply.has_begun
             if send.end is SendEnd.ANSWERED and send.passed:
                 self._sender.log(send, "answered")
                 self._reply.end_stream()
@@ -212,7 +214,7 @@
         # out how far it got, and a partial execution is of no use.
         if self._request.route.repeat is not Repeat.AT_MOST_ONCE:
             current.cancel()
-        self._parts.events.record("caller.left", request=self._request.id)
+        self._deps.events.record("caller.left", request=self._request.id)
 
     def end_on_shutdown(self) -> None:
         """Answer a request that is still running when the process ends."""
@@ -229,14 +231,14 @@
     def _record_end(self, kind: str) -> None:
         """Log the progress of a request that ends without its whole answer."""
         request, reply = self._request, self._reply
-        self._parts.events.record(
+        self._deps.events.record(
             kind,
             request=request.id,
             route=reply.route,
             upstream=request.upstream,
             passed=reply.passed,
             held_back=self._sender.has_partial_event,
-            sends=request.sendings.offered,
+            sends=request.send_history.offered,
             age_ms=reply.age_ms,
             **request.incoming.describe_connection(),
         )
@@ -249,10 +251,10 @@
             reply.count("caller_left")
         elif reply.has_begun:
             reply.break_off()
-        elif request.sendings.may_have_run or request.was_interrupted:
+        elif request.send_history.may_have_run or request.was_interrupted:
             reply.fail(504, reason, message)
         else:
-            reply.refuse(reason, self._parts.stop.draw_return(timedelta()))
+            reply.refuse(reason, self._deps.stop.draw_retry_delay(timedelta()))
 
     def _record_times(self) -> None:
         """Record the duration of an answer, complete or not.
@@ -260,16 +262,16 @@
         Incomplete ones count too, as they are those that take the longest.
         """
         request = self._request
-        if request.expected is not None and request.sendings.offered <= 1:
-            self._parts.answer_times.note(
+        if request.expected is not None and request.send_history.offered <= 1:
+            self._deps.answer_times.note(
                 request.route,
                 request.expected,
                 self._reply.time_to_first_part,
-                self._parts.clock.monotonic(),
+                self._deps.clock.monotonic(),
             )
-        self._parts.times.note(
+        self._deps.times.note(
             self._request.route.name,
-            self._parts.clock.monotonic(),
+            self._deps.clock.monotonic(),
             self._reply.time_to_first_part,
             self._reply.stream_duration,
             self._reply.events,
@@ -277,22 +279,22 @@
 
     async def _send(self) -> Send | None:
         """Choose an upstream and send; None if there is none or it was refused."""
-        parts, request = self._parts, self._request
-        candidates = parts.upstreams.list_usable(request.service)
+        deps, request = self._deps, self._request
+        candidates = deps.upstreams.list_usable(request.service)
         prompt = request.facts.prompt
         if request.route.has_prompt and prompt is not None:
             return await send_generation(
-                parts, request, self._sender, self._reply, prompt, candidates
+                deps, request, self._sender, self._reply, prompt, candidates
             )
-        now = parts.clock.monotonic()
+        now = deps.clock.monotonic()
         upstream = choose_plain(
             candidates,
-            parts.loads,
+            deps.loads,
             now,
-            parts.availability_zone,
-            parts.random,
+            deps.availability_zone,
+            deps.random,
             request.avoid,
-            lambda record: parts.limits.expect_wait(record, now),
+            lambda record: deps.limits.expect_wait(record, now),
         )
         if upstream is None:
             return None
@@ -302,18 +304,18 @@
         self, upstream: UpstreamRecord, now: timedelta
     ) -> Send | None:
         """Send when the upstream's rate limit allows it; None if that is too late."""
-        parts, request = self._parts, self._request
-        wait_time = timedelta(seconds=parts.limits.expect_wait(upstream, now))
+        deps, request = self._deps, self._request
+        wait_time = timedelta(seconds=deps.limits.expect_wait(upstream, now))
         if wait_time > RATE_LIMIT_WAIT_SHARE * request.route.latency_target:
             # Jitter keeps callers refused together from retrying at the same time.
-            retry_after = wait_time * (1 + parts.random.random())
+            retry_after = wait_time * (1 + deps.random.random())
             self._refuse_without_upstream("limited", retry_after)
             return None
-        turn = parts.limits.reserve(upstream, now)
+        reservation = deps.limits.reserve(upstream, now)
         try:
-            await await_turn(parts, turn)
+            await await_reservation(deps, reservation)
         finally:
-            parts.limits.release(turn)
+            deps.limits.release(reservation)
         return await self._sender.run(upstream)
 
     def _decide_retry(self, send: Send) -> bool:
@@ -323,9 +325,11 @@
             self._sender.log(send, "stop")
             self._reply.count("caller_left")
             return False
-        now = self._parts.clock.monotonic()
+        now = self._deps.clock.monotonic()
         left = request.measure_time_left(now)
-        step = decide_next(request.route, request.sendings, send.end, send.status, left)
+        step = decide_next(
+            request.route, request.send_history, send.end, send.status, left
+        )
         if step in (NextStep.SEND_AGAIN, NextStep.RESUME):
             request.avoid.add(send.upstream.id)
             if self._take_retry_allowance(send, now):
@@ -339,24 +343,24 @@
     def _take_retry_allowance(self, send: Send, now: timedelta) -> bool:
         """Charge a retry to the retry allowance; returns whether it had room."""
         request = self._request
-        sends = count_repeats(request.route, send.end, self._judge_reading())
-        window = self._parts.pools.get_window(request.service)
+        sends = count_repeats(request.route, send.end, self._find_prefill_state())
+        window = self._deps.pools.get_window(request.service)
         return not sends or window.take(now, sends)
 
-    def _judge_reading(self) -> ReadingState:
+    def _find_prefill_state(self) -> ReadingState:
         """Return whether a retry can use the prompt that was already prefilled."""
-        parts, request = self._parts, self._request
-        if request.reading is None:
+        deps, request = self._deps, self._request
+        if request.prefill is None:
             return ReadingState.NONE
-        engines = parts.upstreams.list_usable(request.service)
-        loss = parts.planner.find_loss(request.reading, engines, request.avoid)
+        engines = deps.upstreams.list_usable(request.service)
+        loss = deps.planner.find_loss(request.prefill, engines, request.avoid)
         return ReadingState.KEPT if loss is None else ReadingState.LOST
 
     def _choose_final_step(self, send: Send) -> NextStep:
         """Return the last step if the retry allowance has no room for another send."""
         if send.end is SendEnd.ANSWERED:
             return NextStep.PASS_ON
-        may_have_run = self._request.sendings.may_have_run
+        may_have_run = self._request.send_history.may_have_run
         return NextStep.FAIL if may_have_run else NextStep.REFUSE
 
     def _finish(self, step: NextStep, send: Send) -> None:
@@ -376,7 +380,7 @@
         """Answer a request that is quarantined for crashing the upstreams it ran on."""
         if self._reply.has_begun:
             self._reply.break_off()
-        elif self._request.sendings.may_have_run:
+        elif self._request.send_history.may_have_run:
             self._reply.fail(502, "quarantine", "The upstreams crashed on this.")
         else:
             self._reply.refuse("quarantine", QUARANTINE_RETRY_AFTER)
@@ -387,7 +391,7 @@
         """Answer a request for which there is no upstream, or none left to try."""
         if self._reply.has_begun:
             self._reply.break_off()
-        elif self._request.sendings.may_have_run:
+        elif self._request.send_history.may_have_run:
             self._reply.fail(502, reason, OUTCOME_UNKNOWN)
         else:
             self._reply.refuse(reason, retry_after)
--- a/packages/mustardquay-node/src/mustardquay_node/gateway_servers.py
+++ b/packages/mustardquay-node/src/mustardquay_node/gateway_servers.py
@@ -25,9 +25,9 @@
 class GatewayServers:
     """Listens on the addresses of one gateway."""
 
-    def __init__(self, make_room: Callable[[], bool] = lambda: False):
-        """Take `make_room`, which closes idle connections when descriptors run out."""
-        self._make_room = make_room
+    def __init__(self, free_descriptors: Callable[[], bool] = lambda: False):
+        """Take `free_descriptors`, which closes idle connections of the process."""
+        self._free_descriptors = free_descriptors
         self._servers: list[HTTPServer] = []
         self._callers: HTTPServer | None = None
 
@@ -84,7 +84,7 @@
     def _listen(self, server: HTTPServer, address: str) -> str:
         host, port = split_address(address)
         sockets = [
-            AcceptingSocket(each, self._make_room)
+            AcceptingSocket(each, self._free_descriptors)
             for each in bind_sockets(port, host, backlog=LISTEN_BACKLOG)
         ]
         server.add_sockets(sockets)
--- a/packages/mustardquay-node/src/mustardquay_node/gateway_stops.py
+++ b/packages/mustardquay-node/src/mustardquay_node/gateway_stops.py
@@ -25,7 +25,7 @@
     find_state,
 )
 
-__all__ = ["DEFAULT_RETRY_AFTER", "GatewayStop", "StopParts"]
+__all__ = ["DEFAULT_RETRY_AFTER", "GatewayStop", "StopDependencies"]
 
 CHECK_INTERVAL = timedelta(milliseconds=50)
 """Time between two checks whether a stopping gateway can exit."""
@@ -36,7 +36,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class StopParts:
+class StopDependencies:
     """Dependencies of a graceful stop."""
 
     name: str
@@ -45,7 +45,7 @@
     random: Random
     events: EventRing
     count_in_flight: Callable[[], int]
-    tell_peers: Callable[[], None]
+    notify_peers: Callable[[], None]
     """Sends the next digest to peers at once."""
     end_keep_alive: Callable[[], None]
     """Makes each caller's connection close after its next answer."""
@@ -56,8 +56,8 @@
 class GatewayStop:
     """Decides which requests a stopping gateway admits, and when it can exit."""
 
-    def __init__(self, parts: StopParts):
-        self._parts = parts
+    def __init__(self, deps: StopDependencies):
+        self._deps = deps
         self._fleet = FleetBook()
         self._times: StopTimes | None = None
         self._logged_state = StopState.SERVING
@@ -73,84 +73,84 @@
         """Return the longest time until the gateway exits; None while it serves."""
         if self._times is None:
             return None
-        return max(self._times.ends_at - self._parts.clock.monotonic(), timedelta())
+        return max(self._times.ends_at - self._deps.clock.monotonic(), timedelta())
 
     @property
-    def left(self) -> timedelta:
+    def time_left(self) -> timedelta:
         """Return the time until the last answers are due; zero without a stop."""
         if self._times is None:
             return timedelta()
-        return self._times.answer_by - self._parts.clock.monotonic()
+        return self._times.answer_by - self._deps.clock.monotonic()
 
-    def hear(self, digest: PeerDigest) -> None:
+    def apply_digest(self, digest: PeerDigest) -> None:
         """Process another gateway's digest."""
-        self._fleet.hear(digest, self._parts.clock.monotonic())
+        self._fleet.hear(digest, self._deps.clock.monotonic())
 
     def admit(self, demand: Demand) -> timedelta | None:
         """Return by when an admitted request must begin its answer; None if refused."""
         assert self._times is not None
-        now = self._parts.clock.monotonic()
+        now = self._deps.clock.monotonic()
         return admit_request(self._find_state(), self._times, now, demand)
 
-    def draw_return(self, longest: timedelta) -> timedelta:
+    def draw_retry_delay(self, longest: timedelta) -> timedelta:
         """Return after what time a caller without an answer should retry.
 
         If all gateways stop, none may be available for some seconds.
         """
         if self._times is None:
             return DEFAULT_RETRY_AFTER
-        now = self._parts.clock.monotonic()
+        now = self._deps.clock.monotonic()
         members = self._fleet.list_members(now)
         back = find_return(members, self._times.ends_at, longest, now)
-        return back + RETRY_SPREAD * self._parts.random.random()
+        return back + RETRY_SPREAD * self._deps.random.random()
 
     async def run(self, time_to_drain: timedelta) -> None:
         """Wait for running requests to end, within the time to drain."""
-        now = self._parts.clock.monotonic()
+        now = self._deps.clock.monotonic()
         self._times = StopTimes(now, now + time_to_drain)
-        self._parts.events.record("drain.started", requests=self._count_in_flight())
-        self._parts.end_keep_alive()
-        self._parts.tell_peers()
+        self._deps.events.record("drain.started", requests=self._count_in_flight())
+        self._deps.end_keep_alive()
+        self._deps.notify_peers()
         while (state := self._find_state()) is not StopState.CLOSED:
             self._enter(state)
             if state is StopState.LAST_CALLS:
                 # Callers on idle connections reconnect to gateways that are ready. It
                 # costs them no attempt, as no request was read from them.
-                self._parts.close_idle()
+                self._deps.close_idle()
             await asyncio.sleep(CHECK_INTERVAL.total_seconds())
         # The state stays closed from here on. Otherwise a request whose body completes
         # during the shutdown would reopen the gateway, be admitted, and be cut off.
         self._has_closed = True
         self._enter(state)
-        self._parts.events.record("drain.ended", requests=self._count_in_flight())
+        self._deps.events.record("drain.ended", requests=self._count_in_flight())
 
     def _find_state(self) -> StopState:
         if self._times is None:
             return StopState.SERVING
         if self._has_closed:
             return StopState.CLOSED
-        now = self._parts.clock.monotonic()
+        now = self._deps.clock.monotonic()
         place = self._find_place(self._fleet.list_members(now))
         return find_state(self._times, now, self._count_in_flight(), place)
 
     def _find_place(self, members: list[Member]) -> StopPlace:
         return StopPlace(
-            is_needed(self._parts.availability_zone, members),
-            is_next_to_end(self._parts.name, members),
+            is_needed(self._deps.availability_zone, members),
+            is_next_to_end(self._deps.name, members),
         )
 
     def _enter(self, state: StopState) -> None:
         if state is self._logged_state:
             return
         self._logged_state = state
-        members = self._fleet.list_members(self._parts.clock.monotonic())
-        self._parts.events.record(
+        members = self._fleet.list_members(self._deps.clock.monotonic())
+        self._deps.events.record(
             "drain.state",
             state=state.value,
             requests=self._count_in_flight(),
-            left_ms=round(self.left.total_seconds() * 1000),
+            left_ms=round(self.time_left.total_seconds() * 1000),
             gateways={each.name: each.state.value for each in members},
         )
 
     def _count_in_flight(self) -> int:
-        return self._parts.count_in_flight()
+        return self._deps.count_in_flight()
--- a/packages/mustardquay-node/src/mustardquay_node/gateway_upstreams.py
+++ b/packages/mustardquay-node/src/mustardquay_node/gateway_upstreams.py
@@ -23,11 +23,11 @@
 from .settings import BoundsSettings, GatewaySettings
 from .upstream_pools import UpstreamPools
 
-__all__ = ["GatewayUpstreams", "UpstreamParts"]
+__all__ = ["GatewayUpstreams", "UpstreamDependencies"]
 
 
 @dataclass(frozen=True, slots=True)
-class UpstreamParts:
+class UpstreamDependencies:
     """Dependencies of `GatewayUpstreams`."""
 
     adapter: Adapter
@@ -46,50 +46,50 @@
 class GatewayUpstreams:
     """State of upstreams that the components of one gateway share."""
 
-    def __init__(self, settings: GatewaySettings, parts: UpstreamParts):
-        self._parts = parts
+    def __init__(self, settings: GatewaySettings, deps: UpstreamDependencies):
+        self._deps = deps
         # Connections to upstreams use most of a gateway's descriptors.
-        self._descriptors = DescriptorGuard(parts.clock, parts.events)
+        self._descriptors = DescriptorGuard(deps.clock, deps.events)
         self.list = UpstreamList()
         self.loads = LoadBook()
         self.limits = LimitBook()
-        self.crashes = CrashReporter(parts.clock, parts.events)
+        self.crashes = CrashReporter(deps.clock, deps.events)
         self.pools = UpstreamPools(
-            parts.clock,
+            deps.clock,
             _make_retry_limits(settings.bounds),
             settings.gateway.processes,
-            count_gateways=parts.count_gateways,
+            count_gateways=deps.count_gateways,
             find_limit=self._find_connection_limit,
             note_unreachable=self._note_unreachable,
             # Callers' connections last: each may be about to send its next request.
-            free_descriptors=lambda: self._descriptors.make_room(
-                self.pools.close_idle, parts.close_idle_callers
+            free_descriptors=lambda: self._descriptors.free_descriptors(
+                self.pools.close_idle, deps.close_idle_callers
             ),
         )
         self.planner = GenerationPlanner(
-            parts.clock,
+            deps.clock,
             self.list,
             self.loads,
             uplink=Uplink(settings.gateway.link_rate),
             limits=self.limits,
-            note_change=parts.note_change,
-            random=parts.random,
+            note_change=deps.note_change,
+            random=deps.random,
         )
 
     async def close(self) -> None:
         """Close the connections."""
         await self.pools.close()
 
-    def take_bounds(self, bounds: BoundsSettings) -> None:
+    def apply_bounds(self, bounds: BoundsSettings) -> None:
         """Apply other bounds from now on."""
         self.pools.retry_limits = _make_retry_limits(bounds)
 
-    def make_room(self) -> bool:
+    def free_descriptors(self) -> bool:
         """Close idle connections to upstreams; returns whether there were any.
 
         Used to accept callers when there are no descriptors left.
         """
-        return self._descriptors.make_room(self.pools.close_idle)
+        return self._descriptors.free_descriptors(self.pools.close_idle)
 
     def is_lost(self, id: str) -> bool:
         """Return whether an upstream has been unreachable for long."""
@@ -107,7 +107,7 @@
         """Call an engine on the gateway's own behalf; does not wait for rate limits."""
         self.limits.note_sent(engine.id, self._now)
         pool = self.pools.get_pool(engine)
-        return await call_engine(self._parts.adapter, pool, engine, call)
+        return await call_engine(self._deps.adapter, pool, engine, call)
 
     def forget(self, id: str) -> None:
         """Drop the state of an upstream that is gone or has restarted."""
@@ -119,14 +119,14 @@
 
     @property
     def _now(self) -> timedelta:
-        return self._parts.clock.monotonic()
+        return self._deps.clock.monotonic()
 
     def _note_unreachable(self, id: str) -> None:
         self.loads.note_unreachable(id, self._now)
         self.crashes.note_lost(id)
 
     def _find_connection_limit(self, service: str) -> int | None:
-        table = self._parts.find_table()
+        table = self._deps.find_table()
         found = table.services.get(service) if table is not None else None
         return None if found is None else found.max_connections
 
--- a/packages/mustardquay-node/src/mustardquay_node/gateways.py
+++ b/packages/mustardquay-node/src/mustardquay_node/gateways.py
@@ -24,13 +24,13 @@
 from .configuration_intakes import ConfigurationIntake
 from .digests import DigestBook, DigestParts
 from .era_watches import EraWatch
-from .forwarder_parts import ForwarderParts
+from .forwarder_dependencies import ForwarderDependencies
 from .forwarders import Forwarder
 from .gateway_feeds import FeedParts, GatewayFeeds
 from .gateway_metrics import GatewayMetrics
 from .gateway_servers import GatewayServers
-from .gateway_stops import GatewayStop, StopParts
-from .gateway_upstreams import GatewayUpstreams, UpstreamParts
+from .gateway_stops import GatewayStop, StopDependencies
+from .gateway_upstreams import GatewayUpstreams, UpstreamDependencies
 from .peers import PeerLink
 from .seeds import make_seed
 from .settings import GatewaySettings
@@ -100,7 +100,7 @@
         self._connections = CallerConnections(
             ConnectionOptions(self._clock, self._get_limits, self._forwarder.handle)
         )
-        self._servers = GatewayServers(self._upstreams.make_room)
+        self._servers = GatewayServers(self._upstreams.free_descriptors)
         self._ticker: asyncio.Task[None] | None = None
         self._closing: asyncio.Task[None] | None = None
         self._address = settings.gateway.listen
@@ -184,7 +184,7 @@
         # Before anything that waits for the store, and before the connections are
         # closed, which would look as if the callers had left.
         await self._forwarder.close()
-        await self._connections.settle(SETTLE_LIMIT)
+        await self._connections.drain(SETTLE_LIMIT)
         if self._ticker is not None:
             self._ticker.cancel()
         await self._keeper.close()
@@ -208,10 +208,10 @@
         if fixed:
             self._events.record("settings.need_restart")
         self._settings = settings
-        self._upstreams.take_bounds(settings.bounds)
+        self._upstreams.apply_bounds(settings.bounds)
 
     def _make_upstreams(self) -> GatewayUpstreams:
-        parts = UpstreamParts(
+        parts = UpstreamDependencies(
             adapter=self._adapter,
             clock=self._clock,
             random=self._random,
@@ -225,21 +225,21 @@
 
     def _make_stop(self) -> GatewayStop:
         node = self._settings.node
-        parts = StopParts(
+        parts = StopDependencies(
             name=node.name,
             availability_zone=node.availability_zone,
             clock=self._clock,
             random=self._random,
             events=self._events,
             count_in_flight=lambda: self._forwarder.in_flight,
-            tell_peers=lambda: self._peers.hurry(),
+            notify_peers=lambda: self._peers.hurry(),
             end_keep_alive=self._end_keep_alive,
             close_idle=lambda: self._connections.close_idle(),
         )
         return GatewayStop(parts)
 
-    def _make_parts(self) -> ForwarderParts:
-        return ForwarderParts(
+    def _make_parts(self) -> ForwarderDependencies:
+        return ForwarderDependencies(
             adapter=self._adapter,
             clock=self._clock,
             random=self._random,
@@ -252,10 +252,10 @@
             crashes=self._upstreams.crashes,
             planner=self._upstreams.planner,
             stop=self._stop,
-            judge_table=lambda: self._configurations.judge(),
+            find_table_state=lambda: self._configurations.judge(),
             count_answer=self._metrics.count_answer,
             count_send=self._metrics.count_send,
-            count_unused_reading=self._metrics.count_unused_reading,
+            count_unused_prefill=self._metrics.count_unused_reading,
             record_first_byte=self._metrics.record_first_byte,
         )
 
@@ -386,7 +386,7 @@
         while True:
             await asyncio.sleep(TICK.total_seconds())
             self._intake.expire()
-            self._watch.look()
+            self._watch.check()
             if self.is_ready != self._was_ready:
                 self._was_ready = self.is_ready
                 self._events.record("process.readiness", ready=self._was_ready)
--- a/packages/mustardquay-node/src/mustardquay_node/handovers.py
+++ b/packages/mustardquay-node/src/mustardquay_node/handovers.py
@@ -20,13 +20,13 @@
 from mustardquay.upstream_lists import UpstreamRecord
 
 from .adapters import Prefilled
-from .forwarder_parts import ForwardedRequest, ForwarderParts
+from .forwarder_dependencies import ForwardedRequest, ForwarderDependencies
 from .generators import KeptReading, Ticket
-from .rate_turns import await_turn
+from .rate_reservations import await_reservation
 from .replies import Reply
 from .sends import Send, Sender, SendOptions
 
-__all__ = ["drop_reading", "send_generation"]
+__all__ = ["drop_prefill", "send_generation"]
 
 HANDLE_KEPT_ENDS = (SendEnd.NOT_RUN, SendEnd.NOT_SENT, SendEnd.OTHER_UPSTREAM)
 """Results of a send to the decoding engine after which the handle of the prefill is
@@ -34,7 +34,7 @@
 
 
 async def send_generation(
-    parts: ForwarderParts,
+    deps: ForwarderDependencies,
     request: ForwardedRequest,
     sender: Sender,
     reply: Reply,
@@ -42,19 +42,19 @@
     engines: list[UpstreamRecord],
 ) -> Send | None:
     """Place a generation and send it; None without an engine or if it was refused."""
-    planner = parts.planner
-    reading = request.reading
-    if reading is not None and _take_up(parts, request, reading, engines):
+    planner = deps.planner
+    prefill = request.prefill
+    if prefill is not None and _take_up(deps, request, prefill, engines):
         try:
-            return await _hand_over(parts, request, sender, reading)
+            return await _hand_over(deps, request, sender, prefill)
         finally:
-            planner.end(reading.ticket)
-    if request.sendings.offered:
-        placement = _choose_placement(parts, request, prompt, engines)
+            planner.end(prefill.ticket)
+    if request.send_history.offered:
+        placement = _choose_placement(deps, request, prompt, engines)
         if placement is not None and not admits_turn(request.route, placement):
             return None
     else:
-        placement = _admit(parts, request, reply, prompt, engines)
+        placement = _admit(deps, request, reply, prompt, engines)
     if placement is None:
         return None
     size = len(request.incoming.body)
@@ -63,52 +63,54 @@
     ticket = planner.begin(prompt, placement, size, rank)
     try:
         if placement.prefiller is None:
-            return await _generate_on_one_engine(parts, request, sender, ticket)
-        read = await _prefill(parts, request, sender, ticket)
+            return await _generate_on_one_engine(deps, request, sender, ticket)
+        read = await _prefill(deps, request, sender, ticket)
         if isinstance(read, Send):
             planner.end_reading(ticket)
             return read
-        engines = parts.upstreams.list_usable(request.service)
-        request.reading = KeptReading(ticket, read)
+        engines = deps.upstreams.list_usable(request.service)
+        request.prefill = KeptReading(ticket, read)
         if not planner.renew_decoder(ticket, engines, request.avoid):
-            drop_reading(parts, request, ReadingLoss.NO_GENERATOR)
+            drop_prefill(deps, request, ReadingLoss.NO_GENERATOR)
             return None
         planner.end_reading(ticket, is_handed_over=True)
-        return await _hand_over(parts, request, sender, request.reading)
+        return await _hand_over(deps, request, sender, request.prefill)
     finally:
         planner.end(ticket)
 
 
 def _take_up(
-    parts: ForwarderParts,
+    deps: ForwarderDependencies,
     request: ForwardedRequest,
-    reading: KeptReading,
+    prefill: KeptReading,
     engines: list[UpstreamRecord],
 ) -> bool:
     """Choose another engine to decode a kept prefill; drop it if there is none."""
-    loss = parts.planner.take_up(reading, engines, request.avoid)
+    loss = deps.planner.take_up(prefill, engines, request.avoid)
     if loss is not None:
-        drop_reading(parts, request, loss)
+        drop_prefill(deps, request, loss)
         return False
-    placement = reading.ticket.placement
-    parts.events.record(
+    placement = prefill.ticket.placement
+    deps.events.record(
         "reading.kept",
         request=request.id,
         upstream=placement.reader.id,
         decoder=placement.decoder.id,
-        copied=reading.is_handle_used,
+        copied=prefill.is_handle_used,
     )
     return True
 
 
-def drop_reading(parts: ForwarderParts, request: ForwardedRequest, reason: str) -> None:
+def drop_prefill(
+    deps: ForwarderDependencies, request: ForwardedRequest, reason: str
+) -> None:
     """Discard a request's prefill, and log it if nothing was generated from it."""
-    reading, request.reading = request.reading, None
-    if reading is None or reading.is_used:
+    prefill, request.prefill = request.prefill, None
+    if prefill is None or prefill.is_used:
         return
-    placement = reading.ticket.placement
-    parts.count_unused_reading(reason)
-    parts.events.record(
+    placement = prefill.ticket.placement
+    deps.count_unused_prefill(reason)
+    deps.events.record(
         "reading.unused",
         request=request.id,
         upstream=placement.reader.id,
@@ -119,7 +121,7 @@
 
 
 def _admit(
-    parts: ForwarderParts,
+    deps: ForwarderDependencies,
     request: ForwardedRequest,
     reply: Reply,
     prompt: PromptTraits,
@@ -130,25 +132,25 @@
     Retries of refused callers get a lower rank than requests that can still be answered
     in time.
     """
-    now = parts.clock.monotonic()
+    now = deps.clock.monotonic()
     time_left = request.measure_time_left(now)
     request.is_late = has_returned(request.route, time_left)
     if not request.is_late:
-        placement = _choose_placement(parts, request, prompt, engines)
+        placement = _choose_placement(deps, request, prompt, engines)
         if placement is None:
             return None
-        rest = parts.answer_times.find_rest(request.route, now)
+        rest = deps.answer_times.find_rest(request.route, now)
         if admits_generation(request.route, placement, time_left, rest):
             request.expected = timedelta(seconds=placement.expected_seconds)
             return placement
         # A refused caller's retry can't meet the latency target either.
         request.is_late = True
-    placement = _choose_placement(parts, request, prompt, engines)
+    placement = _choose_placement(deps, request, prompt, engines)
     if placement is None:
         return None
     if admits_late(request.route, placement, time_left):
         return placement
-    back = draw_return(placement, time_left, parts.random)
+    back = draw_return(placement, time_left, deps.random)
     reply.refuse(
         "crowded" if admits_turn(request.route, placement) else "limited",
         back,
@@ -160,74 +162,77 @@
 
 
 def _choose_placement(
-    parts: ForwarderParts,
+    deps: ForwarderDependencies,
     request: ForwardedRequest,
     prompt: PromptTraits,
     engines: list[UpstreamRecord],
 ) -> Placement | None:
     size = len(request.incoming.body)
     rank = rank_generation(request.route, request.is_late)
-    return parts.planner.choose(prompt, engines, request.avoid, size, rank)
+    return deps.planner.choose(prompt, engines, request.avoid, size, rank)
 
 
 async def _generate_on_one_engine(
-    parts: ForwarderParts, request: ForwardedRequest, sender: Sender, ticket: Ticket
+    deps: ForwarderDependencies,
+    request: ForwardedRequest,
+    sender: Sender,
+    ticket: Ticket,
 ) -> Send:
     """Have one engine prefill the prompt and decode."""
     placement = ticket.placement
-    await await_turn(parts, ticket.reader_turn)
+    await await_reservation(deps, ticket.reader_turn)
     options = SendOptions(
-        patience=limit_first(request.route, placement),
+        first_part_timeout=limit_first(request.route, placement),
         fetch_from=placement.holder.address if placement.holder else "",
-        read=_make_first_event_callback(parts, ticket),
+        on_first_part=_make_first_event_callback(deps, ticket),
     )
     return await sender.run(placement.decoder, options)
 
 
-def _note_used(reading: KeptReading) -> None:
-    reading.is_used = True
+def _note_used(prefill: KeptReading) -> None:
+    prefill.is_used = True
 
 
 def _make_first_event_callback(
-    parts: ForwarderParts, ticket: Ticket, reading: KeptReading | None = None
+    deps: ForwarderDependencies, ticket: Ticket, prefill: KeptReading | None = None
 ) -> Callable[[], None]:
     """Return the callback for the first event, which ends the prefill."""
-    started = parts.clock.monotonic()
+    started = deps.clock.monotonic()
 
     def note() -> None:
-        if reading is not None:
-            _note_used(reading)
-        parts.planner.end_reading(ticket)
-        parts.planner.learn_first(ticket, parts.clock.monotonic() - started)
+        if prefill is not None:
+            _note_used(prefill)
+        deps.planner.end_reading(ticket)
+        deps.planner.learn_first(ticket, deps.clock.monotonic() - started)
 
     return note
 
 
 async def _prefill(
-    parts: ForwarderParts,
+    deps: ForwarderDependencies,
     request: ForwardedRequest,
     sender: Sender,
     ticket: Ticket,
 ) -> Prefilled | Send:
     """Have an engine prefill the prompt; returns the failed send if it does not."""
     placement = ticket.placement
-    await await_turn(parts, ticket.reader_turn)
-    started = parts.clock.monotonic()
+    await await_reservation(deps, ticket.reader_turn)
+    started = deps.clock.monotonic()
     options = SendOptions(
         prefill_only=True,
         fetch_from=placement.holder.address if placement.holder else "",
-        patience=limit_reading(request.route, placement),
+        first_part_timeout=limit_reading(request.route, placement),
     )
     send = await sender.run(placement.reader, options)
-    took = parts.clock.monotonic() - started
-    _log_prefill(parts, request, placement, took)
+    took = deps.clock.monotonic() - started
+    _log_prefill(deps, request, placement, took)
     if send.end is SendEnd.ANSWERED and send.status == 200:
         try:
-            prefilled = parts.adapter.read_prefilled(send.content)
+            prefilled = deps.adapter.read_prefilled(send.content)
         except ProtocolError as error:
             send.detail = str(error)
         else:
-            parts.planner.learn_read(ticket, took)
+            deps.planner.learn_read(ticket, took)
             return prefilled
     # A prefill does not count as running the request, whatever its result.
     if send.end is not SendEnd.CALLER_LEFT:
@@ -237,23 +242,23 @@
 
 
 async def _hand_over(
-    parts: ForwarderParts,
+    deps: ForwarderDependencies,
     request: ForwardedRequest,
     sender: Sender,
-    reading: KeptReading,
+    prefill: KeptReading,
 ) -> Send:
     """Have the other engine decode from the prefill."""
-    send = await _generate_from(parts, request, sender, reading)
+    send = await _generate_from(deps, request, sender, prefill)
     if send.end not in HANDLE_KEPT_ENDS:
-        reading.is_handle_used = True
+        prefill.is_handle_used = True
     return send
 
 
 async def _generate_from(
-    parts: ForwarderParts,
+    deps: ForwarderDependencies,
     request: ForwardedRequest,
     sender: Sender,
-    reading: KeptReading,
+    prefill: KeptReading,
 ) -> Send:
     """Send to the decoding engine, by handle or else by copying cached blocks.
 
@@ -262,37 +267,40 @@
     so the decoding engine copies it from there. For some seconds after that, prefills
     of this engine are only copied.
     """
-    ticket = reading.ticket
+    ticket = prefill.ticket
     placement = ticket.placement
     address, reader = placement.reader.address, placement.reader.id
-    await await_turn(parts, ticket.decoder_turn)
-    if not parts.planner.must_copy(reading):
-        source = parts.adapter.build_kv_source(address, reading.prefilled)
+    await await_reservation(deps, ticket.decoder_turn)
+    if not deps.planner.must_copy(prefill):
+        source = deps.adapter.build_kv_source(address, prefill.prefilled)
         options = SendOptions(
-            kv_source=source, read=_make_first_event_callback(parts, ticket, reading)
+            kv_source=source,
+            on_first_part=_make_first_event_callback(deps, ticket, prefill),
         )
         send = await sender.run(placement.decoder, options)
         if send.end is not SendEnd.NOT_RUN:
             return send
-        now = parts.clock.monotonic()
-        parts.loads.note_lapsed_handle(reader, now)
+        now = deps.clock.monotonic()
+        deps.loads.note_lapsed_handle(reader, now)
         sender.log(send, "copy")
-        if not parts.pools.get_window(request.service).take(now):
+        if not deps.pools.get_window(request.service).take(now):
             return send
-        await await_turn(parts, parts.limits.reserve(placement.decoder, now))
-    options = SendOptions(fetch_from=address, read=partial(_note_used, reading))
+        await await_reservation(deps, deps.limits.reserve(placement.decoder, now))
+    options = SendOptions(
+        fetch_from=address, on_first_part=partial(_note_used, prefill)
+    )
     return await sender.run(placement.decoder, options)
 
 
 def _log_prefill(
-    parts: ForwarderParts,
+    deps: ForwarderDependencies,
     request: ForwardedRequest,
     placement: Placement,
     took: timedelta,
 ) -> None:
     """Log the measured and the expected duration of a prefill."""
-    now = parts.clock.monotonic()
-    parts.events.record(
+    now = deps.clock.monotonic()
+    deps.events.record(
         "prompt.read",
         request=request.id,
         upstream=placement.reader.id,
@@ -306,7 +314,7 @@
         copied_tokens=placement.reading.copied,
         late=request.is_late,
         rest_ms=round(
-            parts.answer_times.find_rest(request.route, now).total_seconds() * 1000, 1
+            deps.answer_times.find_rest(request.route, now).total_seconds() * 1000, 1
         ),
-        samples=round(parts.planner.count_samples(placement.reader.service), 1),
+        samples=round(deps.planner.count_samples(placement.reader.service), 1),
     )
--- a/packages/mustardquay-node/src/mustardquay_node/pauses.py
+++ b/packages/mustardquay-node/src/mustardquay_node/pauses.py
@@ -14,7 +14,7 @@
 from math import ceil
 from typing import Any
 
-__all__ = ["RunningTimer", "PauseMeter", "SilenceLimit", "running_timeout"]
+__all__ = ["RunningTimer", "PauseMeter", "IdleTimeout", "running_timeout"]
 
 MAX_STEP = timedelta(milliseconds=100)
 """Longest step of a timeout. Events of a stream come 50 to 110 ms apart, so an active
@@ -100,7 +100,7 @@
             timer.cancel()
 
 
-class SilenceLimit:
+class IdleTimeout:
     """Raises `TimeoutError` in its block after a time without a call of `note`.
 
     A timeout for a whole long answer would end one that arrives steadily over a slow
@@ -114,7 +114,7 @@
         self._scope = asyncio.timeout(None)
         self._timer: RunningTimer | None = None
 
-    async def __aenter__(self) -> "SilenceLimit":
+    async def __aenter__(self) -> "IdleTimeout":
         await self._scope.__aenter__()
         self._begin()
         return self
--- a/packages/mustardquay-node/src/mustardquay_node/replies.py
+++ b/packages/mustardquay-node/src/mustardquay_node/replies.py
@@ -7,7 +7,7 @@
 
 from .caller_connections import CallerAnswer, CallerRequest
 from .connections import AnswerHead
-from .forwarder_parts import ForwarderParts
+from .forwarder_dependencies import ForwarderDependencies
 from .hop_headers import strip_hop_headers
 
 __all__ = ["Reply"]
@@ -21,9 +21,9 @@
     """The answer to one request, sent at once or as a stream."""
 
     def __init__(
-        self, parts: ForwarderParts, incoming: CallerRequest, answer: CallerAnswer
+        self, deps: ForwarderDependencies, incoming: CallerRequest, answer: CallerAnswer
     ):
-        self._parts = parts
+        self._deps = deps
         self._incoming = incoming
         self._answer = answer
         self.request = ""
@@ -63,18 +63,18 @@
     @property
     def age_ms(self) -> float:
         """Return the milliseconds since the request was received."""
-        return self._to_age(self._parts.clock.monotonic())
+        return self._to_age(self._deps.clock.monotonic())
 
     @property
     def time_to_first_part(self) -> timedelta:
         """Return the time to the first part of the answer, or up to now without one."""
-        first = self._first_byte_at or self._parts.clock.monotonic()
+        first = self._first_byte_at or self._deps.clock.monotonic()
         return first - self._incoming.received_at
 
     @property
     def stream_duration(self) -> timedelta:
         """Return the time since the first part of the answer."""
-        now = self._parts.clock.monotonic()
+        now = self._deps.clock.monotonic()
         return now - self._incoming.received_at - self.time_to_first_part
 
     @property
@@ -117,7 +117,7 @@
 
     def begin_stream(self, head: AnswerHead) -> None:
         """Send the head of a stream to the caller."""
-        self._first_byte_at = self._parts.clock.monotonic()
+        self._first_byte_at = self._deps.clock.monotonic()
         self._note_first_byte()
         self._answer.begin(head.status, strip_hop_headers(head.headers))
         for note in self.begun:
@@ -125,7 +125,7 @@
 
     def write(self, data: bytes) -> Awaitable[None] | None:
         """Send a part of a stream; returns what to await if the caller is slow."""
-        now = self._parts.clock.monotonic()
+        now = self._deps.clock.monotonic()
         if self._passed_at is not None:
             self._longest_pause = max(self._longest_pause, now - self._passed_at)
         self._passed_at = now
@@ -139,17 +139,17 @@
 
     def count(self, outcome: str) -> None:
         """Count the outcome of the request."""
-        self._parts.count_answer(self.route, outcome)
+        self._deps.count_answer(self.route, outcome)
 
     def _note_first_byte(self) -> None:
-        age = self._parts.clock.monotonic() - self._incoming.received_at
-        self._parts.record_first_byte(self.route, age)
+        age = self._deps.clock.monotonic() - self._incoming.received_at
+        self._deps.record_first_byte(self.route, age)
 
     def _to_age(self, at: timedelta) -> float:
         return round((at - self._incoming.received_at).total_seconds() * 1000, 1)
 
     def _log_end(self, status: int, reason: str, **inputs: float) -> None:
-        self._parts.events.record(
+        self._deps.events.record(
             "request.ended",
             request=self.request,
             status=status,
--- a/packages/mustardquay-node/src/mustardquay_node/sends.py
+++ b/packages/mustardquay-node/src/mustardquay_node/sends.py
@@ -14,7 +14,7 @@
 from .adapters import AnswerFacts, SendTarget
 from .connections import AnswerHead, Exchange, ExchangeEnd
 from .event_framers import EventFramer, count_event_ends
-from .forwarder_parts import ForwardedRequest, ForwarderParts
+from .forwarder_dependencies import ForwardedRequest, ForwarderDependencies
 from .pauses import RunningTimer
 from .replies import Reply
 
@@ -69,9 +69,9 @@
     """Where the engine fetches the KV cache of a prompt that another one prefilled."""
     fetch_from: str = ""
     """Address of an engine whose cached blocks are copied first."""
-    read: Callable[[], None] = lambda: None
+    on_first_part: Callable[[], None] = lambda: None
     """Called with the first part of a stream, by which the prefill has ended."""
-    patience: timedelta | None = None
+    first_part_timeout: timedelta | None = None
     """Timeout for the first part of the answer; None for the route's idle timeout."""
 
 
@@ -81,8 +81,10 @@
 class Sender:
     """Sends one request, once for each call of `run`."""
 
-    def __init__(self, parts: ForwarderParts, request: ForwardedRequest, reply: Reply):
-        self._parts = parts
+    def __init__(
+        self, deps: ForwarderDependencies, request: ForwardedRequest, reply: Reply
+    ):
+        self._deps = deps
         self._request = request
         self._reply = reply
         self._framer = EventFramer()
@@ -107,11 +109,13 @@
         exchange = self._make_exchange(send, options)
         request.current = exchange
         request.upstream = upstream.id
-        self._start_silence_timer(options.patience or limit_silence(request.route))
-        self._parts.loads.begin(upstream.id)
+        self._start_silence_timer(
+            options.first_part_timeout or limit_silence(request.route)
+        )
+        self._deps.loads.begin(upstream.id)
         end = ExchangeEnd.CANCELLED
         try:
-            pool = self._parts.pools.get_pool(upstream)
+            pool = self._deps.pools.get_pool(upstream)
             is_once = request.route.repeat is not Repeat.IDEMPOTENT
             is_once = is_once and not options.prefill_only
             end = await pool.run(
@@ -129,7 +133,7 @@
 
     def log(self, send: Send, step: str) -> None:
         """Log the result of a send and the next step."""
-        self._parts.events.record(
+        self._deps.events.record(
             "send.ended",
             request=self._request.id,
             upstream=send.upstream.id,
@@ -149,7 +153,7 @@
         request = self._request
         target = SendTarget(
             upstream_id=send.upstream.id,
-            time_left=request.measure_time_left(self._parts.clock.monotonic()),
+            time_left=request.measure_time_left(self._deps.clock.monotonic()),
             prefill_only=options.prefill_only,
             kv_source=options.kv_source,
             fetch_from=options.fetch_from,
@@ -165,7 +169,7 @@
         return Exchange(
             incoming.method,
             incoming.path,
-            self._parts.adapter.build_headers(incoming.headers, target),
+            self._deps.adapter.build_headers(incoming.headers, target),
             incoming.body,
             is_expected=lambda head: self._is_expected_answer(send, head),
             receive=receive if is_stream else None,
@@ -190,9 +194,9 @@
         Guards against upstreams that send an earlier answer twice: the duplicate comes
         in place of the next answer, and a caller would get another caller's answer.
         """
-        facts = self._parts.adapter.read_answer(head)
+        facts = self._deps.adapter.read_answer(head)
         if facts.request_id and facts.request_id != self._request.id:
-            self._parts.events.record(
+            self._deps.events.record(
                 "answer.skipped",
                 request=self._request.id,
                 upstream=send.upstream.id,
@@ -207,14 +211,14 @@
         self, send: Send, exchange: Exchange, data: bytes, options: SendOptions
     ) -> Awaitable[None] | None:
         """Pass on a part of a stream; buffer other answers until they are complete."""
-        now = self._parts.clock.monotonic()
-        self._parts.loads.note_heard(send.upstream.id, now)
+        now = self._deps.clock.monotonic()
+        self._deps.loads.note_heard(send.upstream.id, now)
         if not _is_stream(send, exchange):
             exchange.keep(data)
             return None
         if not send.passed:
             send.passed = True
-            options.read()
+            options.on_first_part()
             if not self._reply.has_begun:
                 self._reply.begin_stream(exchange.head)
         if send.first_at is None:
@@ -249,13 +253,13 @@
         current = self._request.current
         if current is None:
             return
-        now = self._parts.clock.monotonic()
-        if self._parts.loads.is_heard(self._request.upstream, now):
+        now = self._deps.clock.monotonic()
+        if self._deps.loads.is_heard(self._request.upstream, now):
             # It is alive and busy with other requests; a retry elsewhere would not be
             # faster.
             self._start_silence_timer(SILENCE_RECHECK_INTERVAL)
             return
-        self._parts.events.record(
+        self._deps.events.record(
             "upstream.silent",
             request=self._request.id,
             upstream=self._request.upstream,
@@ -272,7 +276,7 @@
         send.was_reused = exchange.was_reused
         send.detail = end
         send.end = self._classify(send, exchange, end)
-        self._parts.count_send(self._reply.route, send.end.value)
+        self._deps.count_send(self._reply.route, send.end.value)
         if send.end is SendEnd.ANSWERED and send.passed:
             self._reply.write(self._framer.take_partial_event())
             self._record_event_interval(send)
@@ -287,7 +291,7 @@
         if send.first_at is None or send.events < MIN_EVENTS:
             return
         pause = (send.last_at - send.first_at) / (send.events - 1)
-        self._parts.planner.learn_pause(send.upstream, pause)
+        self._deps.planner.learn_pause(send.upstream, pause)
 
     def _classify(self, send: Send, exchange: Exchange, end: str) -> SendEnd:
         if self._reply.is_caller_gone:
@@ -308,19 +312,19 @@
         return SendEnd.ANSWERED
 
     def _note_crash(self, send: Send, end: str) -> None:
-        crashes = self._parts.crashes
+        crashes = self._deps.crashes
         fingerprint = self._request.fingerprint
         if send.end is SendEnd.BROKEN and end == ExchangeEnd.BROKEN:
             crashes.note_broken(send.upstream, fingerprint)
-            self._parts.pools.probe(send.upstream)
+            self._deps.pools.probe(send.upstream)
         elif send.end is SendEnd.ANSWERED:
             crashes.note_answer(fingerprint)
         if end == ExchangeEnd.NOT_CONNECTED:
             crashes.note_lost(send.upstream.id)
 
     def _note_load(self, send: Send, end: str, options: SendOptions) -> None:
-        now = self._parts.clock.monotonic()
-        loads = self._parts.loads
+        now = self._deps.clock.monotonic()
+        loads = self._deps.loads
         id = send.upstream.id
         if end == ExchangeEnd.NOT_CONNECTED:
             loads.note_unreachable(id, now)
@@ -331,7 +335,7 @@
             if not options.kv_source:
                 loads.note_refusal(id, now)
         if loads.end(id, _has_failed(send, end), now):
-            self._parts.events.record(
+            self._deps.events.record(
                 "upstream.ejected",
                 request=self._request.id,
                 upstream=id,
@@ -346,10 +350,10 @@
         if facts.is_other_upstream:
             return
         id = send.upstream.id
-        now = self._parts.clock.monotonic()
-        change = self._parts.limits.hear(id, facts.rate_limit, now)
+        now = self._deps.clock.monotonic()
+        change = self._deps.limits.hear(id, facts.rate_limit, now)
         if change is not None:
-            self._parts.events.record(
+            self._deps.events.record(
                 "upstream.limited",
                 request=self._request.id,
                 upstream=id,
--- a/packages/mustardquay-node/src/mustardquay_node/settings_watches.py
+++ b/packages/mustardquay-node/src/mustardquay_node/settings_watches.py
@@ -28,7 +28,7 @@
         self._take = take
         self._file_stamps = self._read_file_stamps()
 
-    def look(self) -> None:
+    def check(self) -> None:
         """Read the files again if they have changed."""
         if self._read_file_stamps() != self._file_stamps:
             self.reload()
--- a/packages/mustardquay-node/src/mustardquay_node/upstream_intakes.py
+++ b/packages/mustardquay-node/src/mustardquay_node/upstream_intakes.py
@@ -10,7 +10,7 @@
 from mustardquay.upstream_lists import UpstreamList, UpstreamRecord
 
 from .adapters import Adapter, StoreRow
-from .feeds import RETURN_GRACE
+from .feeds import RESTORE_GRACE
 
 __all__ = ["UpstreamIntake"]
 
@@ -50,7 +50,7 @@
         Guards against a copy from before an upstream began to leave: by its old record
         it would get new work again, until it writes the next one.
         """
-        self._distrusts_until = self._clock.monotonic() + RETURN_GRACE
+        self._distrusts_until = self._clock.monotonic() + RESTORE_GRACE
 
     def begin_grace(self) -> None:
         """Note that the store answers again after an outage."""
--- a/packages/mustardquay-node/tests/test_pauses.py
+++ b/packages/mustardquay-node/tests/test_pauses.py
@@ -9,9 +9,9 @@
 from mustardquay.clocks import SystemClock
 from mustardquay_node.connections import ConnectionPool
 from mustardquay_node.pauses import (
+    IdleTimeout,
     PauseMeter,
     RunningTimer,
-    SilenceLimit,
     running_timeout,
 )
 from mustardquay_standins.virtual_loops import VirtualLoop
@@ -121,9 +121,7 @@
     """Return when a limit on silence ends the wait for parts, None if it does not."""
     loop = asyncio.get_running_loop()
     try:
-        async with SilenceLimit(
-            timedelta(seconds=1), timedelta(seconds=LIMIT)
-        ) as limit:
+        async with IdleTimeout(timedelta(seconds=1), timedelta(seconds=LIMIT)) as limit:
             for gap in gaps:
                 await asyncio.sleep(gap)
                 limit.note()
