--- a/packages/mustardquay-node/src/mustardquay_node/gateway_stops.py
+++ b/packages/mustardquay-node/src/mustardquay_node/gateway_stops.py
@@ -101,8 +101,8 @@
             return DEFAULT_RETRY_AFTER
         now = self._deps.clock.monotonic()
         members = self._fleet.list_members(now)
-        back = find_return(members, self._times.ends_at, longest, now)
-        return back + RETRY_SPREAD * self._deps.random.random()
+        delay = find_return(members, self._times.ends_at, longest, now)
+        return delay + RETRY_SPREAD * self._deps.random.random()
 
     async def run(self, time_to_drain: timedelta) -> None:
         """Wait for running requests to end, within the time to drain."""
--- a/packages/mustardquay-node/src/mustardquay_node/handovers.py
+++ b/packages/mustardquay-node/src/mustardquay_node/handovers.py
@@ -64,12 +64,12 @@
     try:
         if placement.prefiller is None:
             return await _generate_on_one_engine(deps, request, sender, ticket)
-        read = await _prefill(deps, request, sender, ticket)
-        if isinstance(read, Send):
+        outcome = await _prefill(deps, request, sender, ticket)
+        if isinstance(outcome, Send):
             planner.end_reading(ticket)
-            return read
+            return outcome
         engines = deps.upstreams.list_usable(request.service)
-        request.prefill = KeptReading(ticket, read)
+        request.prefill = KeptReading(ticket, outcome)
         if not planner.renew_decoder(ticket, engines, request.avoid):
             drop_prefill(deps, request, ReadingLoss.NO_GENERATOR)
             return None
@@ -150,10 +150,10 @@
         return None
     if admits_late(request.route, placement, time_left):
         return placement
-    back = draw_return(placement, time_left, deps.random)
+    retry_after = draw_return(placement, time_left, deps.random)
     reply.refuse(
         "crowded" if admits_turn(request.route, placement) else "limited",
-        back,
+        retry_after,
         wait_ms=round(placement.wait_seconds * 1000, 1),
         turn_ms=round(placement.turn_seconds * 1000, 1),
         occupancy=round(placement.occupancy, 2),
--- a/packages/mustardquay-node/src/mustardquay_node/hedged_reads.py
+++ b/packages/mustardquay-node/src/mustardquay_node/hedged_reads.py
@@ -121,10 +121,10 @@
     async def _wait(self) -> None:
         """Wait until a read has ended, another one is due, or a change is noted."""
         tasks: set[asyncio.Future] = {read.task for read in self._reads}
-        news = None
+        change = None
         if not self._has_change.is_set():
-            news = asyncio.ensure_future(self._has_change.wait())
-            tasks.add(news)
+            change = asyncio.ensure_future(self._has_change.wait())
+            tasks.add(change)
         try:
             await asyncio.wait(
                 tasks,
@@ -132,8 +132,8 @@
                 return_when=asyncio.FIRST_COMPLETED,
             )
         finally:
-            if news is not None:
-                news.cancel()
+            if change is not None:
+                change.cancel()
 
     def _measure_delay(self) -> float | None:
         """Return the seconds until another read is due, None at the limit of reads."""
--- a/packages/mustardquay-node/tests/test_feeds.py
+++ b/packages/mustardquay-node/tests/test_feeds.py
@@ -13,7 +13,7 @@
 
 
 class Store:
-    """Notes the waits that it is asked for, and fails as it is told."""
+    """Records the requested waits, and fails as often as configured."""
 
     def __init__(self, failures):
         self.failures = failures
@@ -33,11 +33,12 @@
         return FeedPage((), StorePosition(0, 1))
 
 
-async def test_calls_to_a_store_that_is_lost_are_held_for_no_time():
-    """A route is served by its old service for three seconds after a change.
+async def test_calls_during_an_outage_of_the_store_ask_for_no_wait():
+    """Guards against a configuration change that is seen three seconds late.
 
-    The store was silent and is back. The gateway's last call was sent just before,
-    gets no answer, and ends only when the wait that it asked for is over.
+    A silent store recovers. The gateway's last call was sent just before, gets no
+    answer, and ends only when the wait that it asked for is over; until then, a route
+    uses its old service.
     """
     clock = VirtualClock()
     store = Store(failures=3)
--- a/packages/mustardquay-node/tests/test_hedged_reads.py
+++ b/packages/mustardquay-node/tests/test_hedged_reads.py
@@ -1,4 +1,4 @@
-"""Races between reads of the store, in virtual time."""
+"""Hedged reads of the store, in virtual time."""
 
 import asyncio
 from dataclasses import dataclass, field
@@ -17,17 +17,17 @@
 
 @dataclass
 class Script:
-    """What the store does with one read."""
+    """Behaviour of the store for one read."""
 
     moves: tuple[float, ...] = ()
-    """When bytes come, in seconds from the read's beginning."""
+    """When bytes arrive, in seconds since the start of the read."""
     ends: float = NEVER
     fails: bool = False
 
 
 @dataclass
-class Course:
-    """A race by scripts, and what came of it."""
+class Trial:
+    """A hedged read by scripts, and its result."""
 
     scripts: list[Script]
     begun: list[float] = field(default_factory=list)
@@ -37,14 +37,14 @@
     won_at: float | None = None
     winner: int | None = None
 
-    def run(self, hold=HOLD, news_at=None):
+    def run(self, hold=HOLD, change_at=None):
         loop = VirtualLoop()
         self.loop = loop
-        race = HedgedRead(self.open_read, LoopClock(loop), self.observe())
-        if news_at is not None:
-            loop.call_later(news_at, race.note_change)
+        read = HedgedRead(self.open_read, LoopClock(loop), self.observe())
+        if change_at is not None:
+            loop.call_later(change_at, read.note_change)
         try:
-            self.winner = loop.run_until_complete(race.run(hold))
+            self.winner = loop.run_until_complete(read.run(hold))
             self.won_at = round(loop.time(), 2)
         finally:
             loop.close()
@@ -75,72 +75,72 @@
     return tuple(step * number for number in range(1, int(until / step) + 1))
 
 
-def test_a_read_that_moves_bytes_is_left_alone_however_long_it_takes():
-    """Guards against a large row that is begun anew before it is whole."""
-    course = Course([Script(steps(9), 9.1)]).run(news_at=0.1)
-    assert (course.won_at, course.begun, course.ended) == (9.1, [0.0], [])
+def test_a_read_that_receives_bytes_gets_no_hedge_however_long_it_takes():
+    """Guards against a large row whose read is restarted before its end."""
+    trial = Trial([Script(steps(9), 9.1)]).run(change_at=0.1)
+    assert (trial.won_at, trial.begun, trial.ended) == (9.1, [0.0], [])
 
 
-def test_a_read_that_is_silent_although_there_is_news_gets_another_beside_it():
-    """Guards against a connection that went silent without being closed."""
-    course = Course([Script(), Script(ends=0.05)]).run(news_at=1.0)
-    assert (course.begun, course.winner, course.won_at) == ([0.0, 1.3], 1, 1.35)
-    assert course.options[1].on_new_connection
-    assert course.silences == 0
+def test_a_read_that_is_silent_despite_a_change_gets_a_hedge():
+    """Guards against a dead connection that was not closed."""
+    trial = Trial([Script(), Script(ends=0.05)]).run(change_at=1.0)
+    assert (trial.begun, trial.winner, trial.won_at) == ([0.0, 1.3], 1, 1.35)
+    assert trial.options[1].on_new_connection
+    assert trial.silences == 0
 
 
-def test_a_read_that_is_held_for_too_long_gets_another_beside_it():
-    """Guards against a silent connection of a gateway that has no peers."""
-    course = Course([Script(), Script(ends=0.05)]).run()
-    assert (course.begun, course.winner) == ([0.0, 2.8], 1)
-    assert course.silences == 1
+def test_a_read_that_is_held_for_too_long_gets_a_hedge():
+    """Guards against a dead connection of a gateway that has no peers."""
+    trial = Trial([Script(), Script(ends=0.05)]).run()
+    assert (trial.begun, trial.winner) == ([0.0, 2.8], 1)
+    assert trial.silences == 1
 
 
-def test_a_read_that_stops_in_its_middle_gets_another_beside_it():
-    """Guards against a connection that goes silent while it carries a large row."""
-    course = Course([Script((0.1, 0.2)), Script(ends=0.1)]).run(news_at=0.0)
-    assert (course.begun, course.winner) == ([0.0, 0.8], 1)
+def test_a_read_that_stalls_gets_a_hedge():
+    """Guards against a connection that stalls in the middle of a large row."""
+    trial = Trial([Script((0.1, 0.2)), Script(ends=0.1)]).run(change_at=0.0)
+    assert (trial.begun, trial.winner) == ([0.0, 0.8], 1)
 
 
-def test_the_first_read_wins_over_one_begun_beside_it():
-    """Guards against a slow store whose every answer is given up for a new call."""
-    course = Course([Script(ends=1.6), Script(ends=1.6), Script(ends=1.6)])
-    course.run(timedelta(), news_at=0.0)
-    assert (course.winner, course.won_at) == (0, 1.6)
-    assert [each.reason for each in course.ended] == ["another_won"] * 2
+def test_the_first_read_wins_over_its_hedge():
+    """Guards against a slow store whose answers are all abandoned for new calls."""
+    trial = Trial([Script(ends=1.6), Script(ends=1.6), Script(ends=1.6)])
+    trial.run(timedelta(), change_at=0.0)
+    assert (trial.winner, trial.won_at) == (0, 1.6)
+    assert [each.reason for each in trial.ended] == ["another_won"] * 2
 
 
-def test_a_read_without_a_byte_ends_once_another_gets_on():
-    """Guards against a narrow link that carries the same megabyte twice."""
+def test_a_read_without_a_byte_is_cancelled_when_another_receives_some():
+    """Guards against a slow link that transfers the same megabyte twice."""
     scripts = [Script(steps(2, 0.5), 2.1), Script(ends=NEVER)]
-    course = Course(scripts).run(timedelta(), news_at=0.0)
-    assert (course.winner, course.won_at) == (0, 2.1)
-    assert [(each.reason, each.bytes) for each in course.ended] == [("outrun", 0)]
+    trial = Trial(scripts).run(timedelta(), change_at=0.0)
+    assert (trial.winner, trial.won_at) == (0, 2.1)
+    assert [(each.reason, each.bytes) for each in trial.ended] == [("outrun", 0)]
 
 
 def test_reads_beside_a_silent_store_are_bounded():
-    """Guards against a store that returns from an outage to a crowd of calls."""
+    """Guards against a store that is overloaded by calls as it recovers."""
     scripts = [Script(ends=9, fails=True) for _ in range(MAX_READS)]
-    course = Course([*scripts, Script(ends=0.1)]).run(timedelta())
-    assert course.begun == [0.0, 0.8, 1.6, 2.4, 9.0]
+    trial = Trial([*scripts, Script(ends=0.1)]).run(timedelta())
+    assert trial.begun == [0.0, 0.8, 1.6, 2.4, 9.0]
 
 
 def test_the_error_is_raised_once_no_read_is_left():
     scripts = [Script(ends=0.5, fails=True)]
     with pytest.raises(StoreUnavailable):
-        Course(scripts).run(timedelta())
+        Trial(scripts).run(timedelta())
 
 
-def test_a_read_that_fails_leaves_the_others_to_go_on():
-    """Guards against a new start after the oldest of several reads was cut."""
+def test_a_read_that_fails_does_not_end_the_others():
+    """Guards against a restart after the oldest of several reads has failed."""
     scripts = [Script(ends=1.0, fails=True), Script(ends=1.0)]
-    course = Course(scripts).run(timedelta())
-    assert (course.winner, course.won_at) == (1, 1.8)
-    assert "StoreUnavailable" in course.ended[0].reason
+    trial = Trial(scripts).run(timedelta())
+    assert (trial.winner, trial.won_at) == (1, 1.8)
+    assert "StoreUnavailable" in trial.ended[0].reason
 
 
-def test_reads_that_fail_at_once_are_not_begun_in_a_row():
+def test_reads_that_fail_at_once_are_not_restarted_in_a_row():
     """Guards against thousands of calls while the first read hangs."""
     scripts = [Script(ends=3.0), *[Script(ends=0.0, fails=True) for _ in range(5)]]
-    course = Course(scripts).run(timedelta())
-    assert course.begun == [0.0, 0.8, 1.6, 2.4]
+    trial = Trial(scripts).run(timedelta())
+    assert trial.begun == [0.0, 0.8, 1.6, 2.4]
--- a/packages/mustardquay-node/tests/test_logs.py
+++ b/packages/mustardquay-node/tests/test_logs.py
@@ -37,9 +37,9 @@
     assert logs.dropped == 0
 
 
-def test_a_reader_that_stopped_reading_does_not_hold_up_the_process():
+def test_a_reader_that_stopped_reading_does_not_block_the_process():
     # The log collector hangs and the pipe fills up. A process that writes its log
-    # on the event loop would now serve nobody; here lines are dropped and counted.
+    # on the event loop would block all requests; here lines are dropped and counted.
     reader, writer = os.pipe()
     with open(writer, "wb", buffering=0) as file:
         lines = LineWriter(file, capacity=10)
@@ -52,13 +52,13 @@
         collector.start()
         lines.close()
     collector.join()
-    # Once the collector reads again, the log itself says what it lacks.
+    # Once the collector reads again, the log has a line with the number dropped.
     found = [json.loads(line) for line in b"".join(read).splitlines()]
-    told = [item for item in found if item.get("message_type") == DROPPED_MESSAGE]
-    assert [item["lines"] for item in told] == [5]
+    reported = [item for item in found if item.get("message_type") == DROPPED_MESSAGE]
+    assert [item["lines"] for item in reported] == [5]
 
 
-def test_a_closed_output_costs_lines_and_nothing_else():
+def test_a_closed_output_only_loses_lines():
     reader, writer = os.pipe()
     os.close(reader)
     with open(writer, "wb", buffering=0) as file:
@@ -104,11 +104,11 @@
 
 
 def test_lines_over_the_capacity_are_dropped_and_counted():
-    """A process whose output nobody reads goes on serving.
+    """Guards against a process that stops serving when its output is not read.
 
-    The pipe is full, so the writing thread hangs in its first write. Lines that
-    come later fill the queue; those over its capacity are dropped at once, and
-    the others are written, in parts, when the reader comes back.
+    The pipe is full, so the writing thread blocks in its first write. Later lines fill
+    the queue; those over its capacity are dropped at once, and the others are written,
+    in several writes, when the reader continues.
     """
     file = SlowFile()
     writer = LineWriter(file, capacity=3)
@@ -121,7 +121,7 @@
     file.release.set()
     writer.close()
     lines = [orjson.loads(line) for line in file.data.splitlines()]
-    told = {"message_type": DROPPED_MESSAGE, "lines": 2}
-    assert [line for line in lines if line == told] == [told]
-    lines.remove(told)
+    reported = {"message_type": DROPPED_MESSAGE, "lines": 2}
+    assert [line for line in lines if line == reported] == [reported]
+    lines.remove(reported)
     assert [line["number"] for line in lines] == [0, 1, 2, 3]
--- a/packages/mustardquay-node/tests/test_pauses.py
+++ b/packages/mustardquay-node/tests/test_pauses.py
@@ -1,4 +1,4 @@
-"""Limits on waits, in a process that does not run for a while."""
+"""Timeouts in a process that is paused for a while."""
 
 import asyncio
 import time
@@ -22,14 +22,14 @@
 
 
 class PausedLoop(VirtualLoop):
-    """A virtual loop whose process does not run for a while."""
+    """A virtual loop whose process can be paused."""
 
     def pause(self, seconds):
         self._elapsed += seconds
 
 
 async def time_out(pauses):
-    """Return when a timer calls back that began at 0, with pauses by their start."""
+    """Return when a timer started at 0 calls back, with pauses by their start."""
     loop = asyncio.get_running_loop()
     called = asyncio.Event()
     RunningTimer(timedelta(seconds=LIMIT), called.set)
@@ -47,26 +47,26 @@
         loop.close()
 
 
-def test_without_a_pause_a_limit_is_kept():
+def test_without_a_pause_a_timeout_is_exact():
     assert run(time_out({})) == pytest.approx(LIMIT)
 
 
 @pytest.mark.parametrize("start", [0.01, 0.2, 0.44])
-def test_a_pause_is_not_counted_and_what_came_in_it_is_read_first(start):
+def test_a_pause_is_not_counted_and_data_from_it_is_read_first(start):
     ended = run(time_out({start: PAUSE}))
     left = ended - (start + PAUSE)
     assert LIMIT - start <= left + 0.001
-    # A step is counted anew, so that the loop reads before the limit is over.
+    # One more step is counted, so that the loop reads before the timeout expires.
     assert 0.09 <= left + 0.001 <= LIMIT + 0.1
 
 
-def test_a_limit_is_over_after_many_pauses():
+def test_a_timeout_expires_despite_many_pauses():
     pauses = {n * 1.0: 0.5 for n in range(1, 9)}
     assert run(time_out({0.01: 0.3} | pauses)) < 1.5
 
 
 async def measure(pauses, until):
-    """Return what a meter counts as lost until a time, with pauses by their start."""
+    """Return the seconds that a meter counts as lost, with pauses by their start."""
     loop = asyncio.get_running_loop()
     meter = PauseMeter()
     for start, seconds in pauses.items():
@@ -87,23 +87,23 @@
 
 
 def test_a_meter_counts_all_of_pauses_in_a_row():
-    """A call has no time left after its process was paused some times in a row."""
+    """Guards against a call without time left after several pauses of its process."""
     pauses = {0.01: 0.5, 0.52: 0.5, 1.03: 0.5, 1.54: 0.5}
     assert run(measure(pauses, 3.0)) >= 2.0
 
 
-async def test_a_block_ends_at_its_limit():
+async def test_a_block_ends_at_its_timeout():
     with pytest.raises(TimeoutError):
         async with running_timeout(timedelta(milliseconds=20)):
             await asyncio.sleep(5)
 
 
-async def test_a_connection_that_came_about_in_a_pause_is_used():
-    """Upstreams that are well are left alone, and callers refused or cut off.
+async def test_a_connection_established_during_a_pause_is_used():
+    """Guards against a healthy upstream that counts as unreachable after a pause.
 
-    The gateway's process does not run for 0.4 s while it connects. It wakes with the
-    limit on connecting due and the connection there, drops it, and takes the upstream
-    for unreachable.
+    The gateway's process is paused for 0.4 s while it connects. When it resumes, the
+    connect timeout has expired and the connection is established. A gateway that drops
+    it sends nothing to the upstream, and refuses or cuts off callers.
     """
     server = await asyncio.start_server(lambda reader, writer: None, "127.0.0.1", 0)
     host, port = server.sockets[0].getsockname()
@@ -118,7 +118,7 @@
 
 
 async def take_parts(gaps):
-    """Return when a limit on silence ends the wait for parts, None if it does not."""
+    """Return when an idle timeout ends the wait for parts, None if it does not."""
     loop = asyncio.get_running_loop()
     try:
         async with IdleTimeout(timedelta(seconds=1), timedelta(seconds=LIMIT)) as limit:
@@ -133,6 +133,6 @@
 @pytest.mark.parametrize(
     "gaps, ended", [([0.9, *[0.4] * 20], None), ([1.1], 1.0), ([0.1, 0.6], 0.55)]
 )
-def test_a_limit_on_silence_counts_from_the_last_part(gaps, ended):
-    """Guards against a long answer that is given up although it gets on."""
+def test_an_idle_timeout_counts_from_the_last_part(gaps, ended):
+    """Guards against a long answer that is abandoned although it makes progress."""
     assert run(take_parts(gaps)) == ended
--- a/packages/mustardquay-node/tests/test_settings.py
+++ b/packages/mustardquay-node/tests/test_settings.py
@@ -132,7 +132,7 @@
         ),
     ),
 )
-def test_any_text_is_taken_or_refused_by_name(key, value):
+def test_any_text_is_accepted_or_refused_with_the_name_of_its_key(key, value):
     base = AGENT if key.section == "agent" else ENTRY
     section = key.section.replace("NAME", "alerts")
     try:
