--- a/packages/mustardquay-node/src/mustardquay_node/caller_connections.py
+++ b/packages/mustardquay-node/src/mustardquay_node/caller_connections.py
@@ -87,9 +87,9 @@
         self.has_ended = False
         self.is_caller_gone = False
 
-    def watch(self, left: Callable[[], None]) -> None:
-        """Call `left` if the caller closes its connection before the answer's end."""
-        self._on_caller_gone = left
+    def watch(self, on_gone: Callable[[], None]) -> None:
+        """Call `on_gone` if the caller closes the connection before the answer ends."""
+        self._on_caller_gone = on_gone
         self._connection.set_close_callback(self._note_gone)
 
     def send(self, status: int, headers: HTTPHeaders, body: bytes) -> None:
--- a/packages/mustardquay-node/src/mustardquay_node/connections.py
+++ b/packages/mustardquay-node/src/mustardquay_node/connections.py
@@ -246,7 +246,7 @@
         if stream is None:
             return ExchangeEnd.NOT_CONNECTED
         if exchange.cancelled:
-            self._keep(stream)
+            self._release(stream)
             return ExchangeEnd.CANCELLED
         exchange.attach(stream)
         may_keep = False
@@ -256,7 +256,7 @@
             return end
         finally:
             if may_keep:
-                self._keep(stream)
+                self._release(stream)
             else:
                 self._drop(stream)
 
@@ -268,10 +268,10 @@
         stream = await self._connect(opened)
         if stream is None:
             return False
-        self._keep(stream)
+        self._release(stream)
         return True
 
-    def _keep(self, stream: IOStream) -> None:
+    def _release(self, stream: IOStream) -> None:
         self._idle.append((stream, self._clock.monotonic()))
         # Without a close callback, tornado does not notice that an idle socket closes.
         stream.set_close_callback(lambda: None)
--- a/packages/mustardquay-node/src/mustardquay_node/crosschecks.py
+++ b/packages/mustardquay-node/src/mustardquay_node/crosschecks.py
@@ -37,7 +37,7 @@
             "link",
             "silence",
             f"must be over two heartbeats, {longest:g} s, or one late heartbeat "
-            "closes a good link; raise it",
+            "closes a working link; raise it",
         )
 
 
@@ -46,7 +46,7 @@
     if bool(entry.certificate) != bool(entry.private_key):
         missing = "private_key" if entry.certificate else "certificate"
         other = "certificate" if entry.certificate else "private_key"
-        yield Fault("entry", missing, f"is missing beside {other}; give both or none")
+        yield Fault("entry", missing, f"is missing beside {other}; set both or neither")
     if entry.body_limit + FRAME_MARGIN > settings.link.frame_limit:
         most = settings.link.frame_limit - FRAME_MARGIN
         yield Fault(
@@ -65,7 +65,7 @@
         yield Fault("agent", "service", "is missing where kind is service; name it")
     if agent.kind == "engine" and agent.service:
         yield Fault(
-            "agent", "service", "is set where kind is engine; remove it or mend kind"
+            "agent", "service", "is set where kind is engine; remove it or correct kind"
         )
     if agent.port and agent.port == settings.node.admin_port:
         yield Fault("agent", "port", "is also the admin port; choose another")
--- a/packages/mustardquay-node/src/mustardquay_node/forwardings.py
+++ b/packages/mustardquay-node/src/mustardquay_node/forwardings.py
@@ -61,7 +61,7 @@
     waiting = deps.times.begin(request.route.name, incoming.received_at)
     try:
         async with asyncio.timeout_at(begin_by.total_seconds()) as timer:
-            reply.begun = [
+            reply.on_begin = [
                 partial(timer.reschedule, deadline.total_seconds()),
                 partial(deps.times.end, waiting),
             ]
--- a/packages/mustardquay-node/src/mustardquay_node/replies.py
+++ b/packages/mustardquay-node/src/mustardquay_node/replies.py
@@ -31,7 +31,7 @@
         self.route = ""
         self.version = 0
         """Version of the configuration that applies to the request."""
-        self.begun: list[Callable[[], None]] = []
+        self.on_begin: list[Callable[[], None]] = []
         """Callbacks for the first part of a stream, called in this order."""
         self._first_byte_at: timedelta | None = None
         self.events = 0
@@ -120,7 +120,7 @@
         self._first_byte_at = self._deps.clock.monotonic()
         self._note_first_byte()
         self._answer.begin(head.status, strip_hop_headers(head.headers))
-        for note in self.begun:
+        for note in self.on_begin:
             note()
 
     def write(self, data: bytes) -> Awaitable[None] | None:
--- a/packages/mustardquay-node/src/mustardquay_node/sends.py
+++ b/packages/mustardquay-node/src/mustardquay_node/sends.py
@@ -26,8 +26,8 @@
 SILENCE_RECHECK_INTERVAL = timedelta(milliseconds=200)
 """Time until a live engine that has sent nothing for a request is checked again."""
 MIN_EVENTS = 3
-"""Least events of a stream from which their mean interval is measured: the last one may
-come early."""
+"""Fewest events of a stream from which their mean interval is measured: the last event
+may come early."""
 MIN_SERVER_ERROR_STATUS = 500
 """The lowest status of a server error."""
 
--- a/packages/mustardquay-node/src/mustardquay_node/settings.py
+++ b/packages/mustardquay-node/src/mustardquay_node/settings.py
@@ -232,7 +232,7 @@
             continue
         names = {key.name for key in KEYS if key.section == known}
         faults += [
-            f"{sources.locate(section, name)}: is unknown; remove it or mend its "
+            f"{sources.locate(section, name)}: is unknown; remove it or correct its "
             "spelling."
             for name in values
             if name not in names
@@ -248,8 +248,11 @@
             parser.read_file(file, str(path))
     except OSError as error:
         raise SettingsError(
-            f"{path}: can't be read ({error.strerror}); check the path and its rights."
+            f"{path}: can't be read ({error.strerror}); check the path and its "
+            "permissions."
         ) from None
     except (ConfigParserError, UnicodeDecodeError) as error:
-        raise SettingsError(f"{path}: is not an INI file; mend it: {error}") from None
+        raise SettingsError(
+            f"{path}: is not an INI file; correct it: {error}"
+        ) from None
     return {name: dict(parser[name]) for name in parser.sections()}
