--- a/packages/mustardquay-node/src/mustardquay_node/feeds.py
+++ b/packages/mustardquay-node/src/mustardquay_node/feeds.py
@@ -154,7 +154,7 @@
         would get no requests for seconds, until it has written its row again.
         """
         position = found.page.position
-        if position.follows_return(self._applied_position):
+        if position.follows_restore(self._applied_position):
             if not found.is_whole:
                 # Changes since a version that meant other changes before the restore.
                 self._position = None
--- a/packages/mustardquay-node/src/mustardquay_node/forwardings.py
+++ b/packages/mustardquay-node/src/mustardquay_node/forwardings.py
@@ -11,7 +11,7 @@
 from functools import partial
 
 from mustardquay.errors import ProtocolError
-from mustardquay.requests import SendEnd
+from mustardquay.requests import SendResult
 from mustardquay.routing_tables import Repeat, RoutingTable, choose_backend
 from mustardquay.sendings import NextStep, ReadingState, count_repeats, decide_next
 from mustardquay.stops import Demand
@@ -197,7 +197,7 @@
             self._request.send_history.note(send.end)
             self._request.last_end = send.end.value
             self._request.send_history.events_passed = self._reply.has_begun
-            if send.end is SendEnd.ANSWERED and send.passed:
+            if send.end is SendResult.ANSWERED and send.passed:
                 self._sender.log(send, "answered")
                 self._reply.end_stream()
                 self._record_times()
@@ -263,7 +263,7 @@
         """
         request = self._request
         if request.expected is not None and request.send_history.offered <= 1:
-            self._deps.answer_times.note(
+            self._deps.latency_margins.note(
                 request.route,
                 request.expected,
                 self._reply.time_to_first_part,
@@ -358,7 +358,7 @@
 
     def _choose_final_step(self, send: Send) -> NextStep:
         """Return the last step if the retry allowance has no room for another send."""
-        if send.end is SendEnd.ANSWERED:
+        if send.end is SendResult.ANSWERED:
             return NextStep.PASS_ON
         may_have_run = self._request.send_history.may_have_run
         return NextStep.FAIL if may_have_run else NextStep.REFUSE
--- a/packages/mustardquay-node/src/mustardquay_node/gateway_stops.py
+++ b/packages/mustardquay-node/src/mustardquay_node/gateway_stops.py
@@ -8,14 +8,14 @@
 
 from mustardquay.clocks import Clock
 from mustardquay.events import EventRing
-from mustardquay.fleet_books import (
-    FleetBook,
+from mustardquay.peer_availability import (
     Member,
-    find_return,
-    is_needed,
-    is_next_to_end,
+    PeerAvailability,
+    find_retry_delay,
+    is_still_routed,
+    may_stop_early,
 )
-from mustardquay.peer_books import PeerDigest
+from mustardquay.peer_digests import PeerDigest
 from mustardquay.stops import (
     Demand,
     StopPlace,
@@ -58,7 +58,7 @@
 
     def __init__(self, deps: StopDependencies):
         self._deps = deps
-        self._fleet = FleetBook()
+        self._fleet = PeerAvailability()
         self._times: StopTimes | None = None
         self._logged_state = StopState.SERVING
         self._has_closed = False
@@ -84,7 +84,7 @@
 
     def apply_digest(self, digest: PeerDigest) -> None:
         """Process another gateway's digest."""
-        self._fleet.hear(digest, self._deps.clock.monotonic())
+        self._fleet.apply_digest(digest, self._deps.clock.monotonic())
 
     def admit(self, demand: Demand) -> timedelta | None:
         """Return by when an admitted request must begin its answer; None if refused."""
@@ -101,7 +101,7 @@
             return DEFAULT_RETRY_AFTER
         now = self._deps.clock.monotonic()
         members = self._fleet.list_members(now)
-        delay = find_return(members, self._times.ends_at, longest, now)
+        delay = find_retry_delay(members, self._times.ends_at, longest, now)
         return delay + RETRY_SPREAD * self._deps.random.random()
 
     async def run(self, time_to_drain: timedelta) -> None:
@@ -135,8 +135,8 @@
 
     def _find_place(self, members: list[Member]) -> StopPlace:
         return StopPlace(
-            is_needed(self._deps.availability_zone, members),
-            is_next_to_end(self._deps.name, members),
+            is_still_routed(self._deps.availability_zone, members),
+            may_stop_early(self._deps.name, members),
         )
 
     def _enter(self, state: StopState) -> None:
--- a/packages/mustardquay-node/src/mustardquay_node/handovers.py
+++ b/packages/mustardquay-node/src/mustardquay_node/handovers.py
@@ -8,15 +8,15 @@
 from mustardquay.generation_limits import (
     admits_generation,
     admits_late,
-    admits_turn,
-    draw_return,
-    has_returned,
+    admits_rate_limit_wait,
+    draw_retry_delay,
+    is_retry,
     rank_generation,
 )
-from mustardquay.kept_readings import ReadingLoss
 from mustardquay.placements import Placement
-from mustardquay.requests import PromptTraits, SendEnd
-from mustardquay.stalls import limit_first, limit_reading
+from mustardquay.requests import PromptTraits, SendResult
+from mustardquay.retained_prefills import PrefillLoss
+from mustardquay.stall_timeouts import find_first_event_timeout, find_prefill_timeout
 from mustardquay.upstream_lists import UpstreamRecord
 
 from .adapters import Prefilled
@@ -28,7 +28,7 @@
 
 __all__ = ["drop_prefill", "send_generation"]
 
-HANDLE_KEPT_ENDS = (SendEnd.NOT_RUN, SendEnd.NOT_SENT, SendEnd.OTHER_UPSTREAM)
+HANDLE_KEPT_ENDS = (SendResult.NOT_RUN, SendResult.NOT_SENT, SendResult.OTHER_UPSTREAM)
 """Results of a send to the decoding engine after which the handle of the prefill is
 presumably still valid."""
 
@@ -51,7 +51,9 @@
             planner.end(prefill.ticket)
     if request.send_history.offered:
         placement = _choose_placement(deps, request, prompt, engines)
-        if placement is not None and not admits_turn(request.route, placement):
+        if placement is not None and not admits_rate_limit_wait(
+            request.route, placement
+        ):
             return None
     else:
         placement = _admit(deps, request, reply, prompt, engines)
@@ -71,7 +73,7 @@
         engines = deps.upstreams.list_usable(request.service)
         request.prefill = KeptReading(ticket, outcome)
         if not planner.renew_decoder(ticket, engines, request.avoid):
-            drop_prefill(deps, request, ReadingLoss.NO_GENERATOR)
+            drop_prefill(deps, request, PrefillLoss.NO_GENERATOR)
             return None
         planner.end_reading(ticket, is_handed_over=True)
         return await _hand_over(deps, request, sender, request.prefill)
@@ -116,7 +118,7 @@
         upstream=placement.reader.id,
         decoder=placement.decoder.id,
         reason=reason,
-        new_tokens=placement.reading.new,
+        new_tokens=placement.prefill.new,
     )
 
 
@@ -134,13 +136,13 @@
     """
     now = deps.clock.monotonic()
     time_left = request.measure_time_left(now)
-    request.is_late = has_returned(request.route, time_left)
+    request.is_late = is_retry(request.route, time_left)
     if not request.is_late:
         placement = _choose_placement(deps, request, prompt, engines)
         if placement is None:
             return None
-        rest = deps.answer_times.find_rest(request.route, now)
-        if admits_generation(request.route, placement, time_left, rest):
+        margin = deps.latency_margins.find_margin(request.route, now)
+        if admits_generation(request.route, placement, time_left, margin):
             request.expected = timedelta(seconds=placement.expected_seconds)
             return placement
         # A refused caller's retry can't meet the latency target either.
@@ -150,12 +152,12 @@
         return None
     if admits_late(request.route, placement, time_left):
         return placement
-    retry_after = draw_return(placement, time_left, deps.random)
+    retry_after = draw_retry_delay(placement, time_left, deps.random)
     reply.refuse(
-        "crowded" if admits_turn(request.route, placement) else "limited",
+        "crowded" if admits_rate_limit_wait(request.route, placement) else "limited",
         retry_after,
         wait_ms=round(placement.wait_seconds * 1000, 1),
-        turn_ms=round(placement.turn_seconds * 1000, 1),
+        turn_ms=round(placement.limit_wait_seconds * 1000, 1),
         occupancy=round(placement.occupancy, 2),
     )
     return None
@@ -182,7 +184,7 @@
     placement = ticket.placement
     await await_reservation(deps, ticket.reader_turn)
     options = SendOptions(
-        first_part_timeout=limit_first(request.route, placement),
+        first_part_timeout=find_first_event_timeout(request.route, placement),
         fetch_from=placement.holder.address if placement.holder else "",
         on_first_part=_make_first_event_callback(deps, ticket),
     )
@@ -221,23 +223,23 @@
     options = SendOptions(
         prefill_only=True,
         fetch_from=placement.holder.address if placement.holder else "",
-        first_part_timeout=limit_reading(request.route, placement),
+        first_part_timeout=find_prefill_timeout(request.route, placement),
     )
     send = await sender.run(placement.reader, options)
     took = deps.clock.monotonic() - started
     _log_prefill(deps, request, placement, took)
-    if send.end is SendEnd.ANSWERED and send.status == 200:
+    if send.end is SendResult.ANSWERED and send.status == 200:
         try:
             prefilled = deps.adapter.read_prefilled(send.content)
         except ProtocolError as error:
             send.detail = str(error)
         else:
-            deps.planner.learn_read(ticket, took)
+            deps.planner.learn_prefill(ticket, took)
             return prefilled
     # A prefill does not count as running the request, whatever its result.
-    if send.end is not SendEnd.CALLER_LEFT:
-        is_refused = send.end in (SendEnd.NOT_RUN, SendEnd.OTHER_UPSTREAM)
-        send.end = SendEnd.NOT_RUN if is_refused else SendEnd.UNREAD
+    if send.end is not SendResult.CALLER_LEFT:
+        is_refused = send.end in (SendResult.NOT_RUN, SendResult.OTHER_UPSTREAM)
+        send.end = SendResult.NOT_RUN if is_refused else SendResult.UNREAD
     return send
 
 
@@ -278,10 +280,10 @@
             on_first_part=_make_first_event_callback(deps, ticket, prefill),
         )
         send = await sender.run(placement.decoder, options)
-        if send.end is not SendEnd.NOT_RUN:
+        if send.end is not SendResult.NOT_RUN:
             return send
         now = deps.clock.monotonic()
-        deps.loads.note_lapsed_handle(reader, now)
+        deps.loads.note_expired_handle(reader, now)
         sender.log(send, "copy")
         if not deps.pools.get_window(request.service).take(now):
             return send
@@ -307,14 +309,15 @@
         decoder=placement.decoder.id,
         copied_from=placement.holder.id if placement.holder else "",
         wait_ms=round(placement.wait_seconds * 1000, 1),
-        read_ms=round(placement.read_seconds * 1000, 1),
+        read_ms=round(placement.prefill_seconds * 1000, 1),
         took_ms=round(took.total_seconds() * 1000, 1),
-        new_tokens=placement.reading.new,
-        cached_tokens=placement.reading.cached,
-        copied_tokens=placement.reading.copied,
+        new_tokens=placement.prefill.new,
+        cached_tokens=placement.prefill.cached,
+        copied_tokens=placement.prefill.copied,
         late=request.is_late,
         rest_ms=round(
-            deps.answer_times.find_rest(request.route, now).total_seconds() * 1000, 1
+            deps.latency_margins.find_margin(request.route, now).total_seconds() * 1000,
+            1,
         ),
         samples=round(deps.planner.count_samples(placement.reader.service), 1),
     )
--- a/packages/mustardquay-node/src/mustardquay_node/sends.py
+++ b/packages/mustardquay-node/src/mustardquay_node/sends.py
@@ -6,9 +6,9 @@
 from datetime import timedelta
 
 from mustardquay.generation_limits import rank_generation
-from mustardquay.requests import SendEnd
+from mustardquay.requests import SendResult
 from mustardquay.routing_tables import Repeat
-from mustardquay.stalls import limit_silence
+from mustardquay.stall_timeouts import find_idle_timeout
 from mustardquay.upstream_lists import UpstreamRecord
 
 from .adapters import AnswerFacts, SendTarget
@@ -41,7 +41,7 @@
     head: AnswerHead | None = None
     content: bytes = b""
     """The body, unless it was streamed to the caller."""
-    end: SendEnd = SendEnd.NOT_SENT
+    end: SendResult = SendResult.NOT_SENT
     detail: str = ""
     was_reused: bool = False
     """Whether the connection had been used before."""
@@ -101,7 +101,7 @@
         """Send to an upstream, and buffer the answer or pass it on."""
         request = self._request
         if self._reply.is_caller_gone:
-            return Send(upstream, end=SendEnd.CALLER_LEFT)
+            return Send(upstream, end=SendResult.CALLER_LEFT)
         # The stream of an earlier send may have ended in the middle of an event; the
         # next one sends that event whole.
         self._framer.drop_partial_event()
@@ -110,7 +110,7 @@
         request.current = exchange
         request.upstream = upstream.id
         self._start_silence_timer(
-            options.first_part_timeout or limit_silence(request.route)
+            options.first_part_timeout or find_idle_timeout(request.route)
         )
         self._deps.loads.begin(upstream.id)
         end = ExchangeEnd.CANCELLED
@@ -212,7 +212,7 @@
     ) -> Awaitable[None] | None:
         """Pass on a part of a stream; buffer other answers until they are complete."""
         now = self._deps.clock.monotonic()
-        self._deps.loads.note_heard(send.upstream.id, now)
+        self._deps.loads.note_activity(send.upstream.id, now)
         if not _is_stream(send, exchange):
             exchange.keep(data)
             return None
@@ -227,7 +227,7 @@
         events = count_event_ends(data)
         send.events += events
         self._reply.events += events
-        self._start_silence_timer(limit_silence(self._request.route))
+        self._start_silence_timer(find_idle_timeout(self._request.route))
         if self._request.route.resumable:
             data = self._framer.feed(data)
             self._request.last_event = self._framer.last_id or self._request.last_event
@@ -254,7 +254,7 @@
         if current is None:
             return
         now = self._deps.clock.monotonic()
-        if self._deps.loads.is_heard(self._request.upstream, now):
+        if self._deps.loads.has_recent_activity(self._request.upstream, now):
             # It is alive and busy with other requests; a retry elsewhere would not be
             # faster.
             self._start_silence_timer(SILENCE_RECHECK_INTERVAL)
@@ -277,7 +277,7 @@
         send.detail = end
         send.end = self._classify(send, exchange, end)
         self._deps.count_send(self._reply.route, send.end.value)
-        if send.end is SendEnd.ANSWERED and send.passed:
+        if send.end is SendResult.ANSWERED and send.passed:
             self._reply.write(self._framer.take_partial_event())
             self._record_event_interval(send)
         self._note_crash(send, end)
@@ -293,31 +293,31 @@
         pause = (send.last_at - send.first_at) / (send.events - 1)
         self._deps.planner.learn_pause(send.upstream, pause)
 
-    def _classify(self, send: Send, exchange: Exchange, end: str) -> SendEnd:
+    def _classify(self, send: Send, exchange: Exchange, end: str) -> SendResult:
         if self._reply.is_caller_gone:
-            return SendEnd.CALLER_LEFT
+            return SendResult.CALLER_LEFT
         if not exchange.was_sent:
-            return SendEnd.NOT_SENT
+            return SendResult.NOT_SENT
         if end != ExchangeEnd.WHOLE or send.facts is None:
-            return SendEnd.BROKEN
+            return SendResult.BROKEN
         if send.facts.is_other_upstream:
-            return SendEnd.OTHER_UPSTREAM
+            return SendResult.OTHER_UPSTREAM
         if send.facts.not_run:
-            return SendEnd.NOT_RUN
+            return SendResult.NOT_RUN
         if send.facts.is_encoded:
-            return SendEnd.BROKEN
+            return SendResult.BROKEN
         if self._reply.has_begun and not send.passed:
             # An error instead of the rest of a stream whose head was already sent.
-            return SendEnd.BROKEN
-        return SendEnd.ANSWERED
+            return SendResult.BROKEN
+        return SendResult.ANSWERED
 
     def _note_crash(self, send: Send, end: str) -> None:
         crashes = self._deps.crashes
         fingerprint = self._request.fingerprint
-        if send.end is SendEnd.BROKEN and end == ExchangeEnd.BROKEN:
+        if send.end is SendResult.BROKEN and end == ExchangeEnd.BROKEN:
             crashes.note_broken(send.upstream, fingerprint)
             self._deps.pools.probe(send.upstream)
-        elif send.end is SendEnd.ANSWERED:
+        elif send.end is SendResult.ANSWERED:
             crashes.note_answer(fingerprint)
         if end == ExchangeEnd.NOT_CONNECTED:
             crashes.note_lost(send.upstream.id)
@@ -328,9 +328,9 @@
         id = send.upstream.id
         if end == ExchangeEnd.NOT_CONNECTED:
             loads.note_unreachable(id, now)
-        elif send.end is SendEnd.ANSWERED:
+        elif send.end is SendResult.ANSWERED:
             loads.note_reached(id, now)
-        elif send.end in (SendEnd.NOT_RUN, SendEnd.OTHER_UPSTREAM):
+        elif send.end in (SendResult.NOT_RUN, SendResult.OTHER_UPSTREAM):
             # A failed fetch of a prefill is not a fault of the engine that fetches.
             if not options.kv_source:
                 loads.note_refusal(id, now)
@@ -371,6 +371,6 @@
 
 
 def _has_failed(send: Send, end: str) -> bool:
-    if end == ExchangeEnd.NOT_CONNECTED or send.end is SendEnd.BROKEN:
+    if end == ExchangeEnd.NOT_CONNECTED or send.end is SendResult.BROKEN:
         return True
-    return send.end is SendEnd.ANSWERED and send.status >= MIN_SERVER_ERROR_STATUS
+    return send.end is SendResult.ANSWERED and send.status >= MIN_SERVER_ERROR_STATUS
