--- a/packages/mustardquay-node/src/mustardquay_node/admins.py
+++ b/packages/mustardquay-node/src/mustardquay_node/admins.py
@@ -1,8 +1,8 @@
 """Admins: the admin port of a process, for operators and their monitoring.
 
-`/healthz`, `/readyz` and `/metrics` need no key. What is under `/admin` needs the
-bearer key of an operator. Bodies are JSON; an error is `{"error": "…"}` whose text
-names the remedy.
+`/healthz`, `/readyz` and `/metrics` need no authentication. All paths under `/admin`
+need an operator's bearer key. Bodies are JSON. Errors have the form
+`{"error": "…"}`, and the text says how to correct the request.
 """
 
 from collections.abc import Callable, Sequence
@@ -45,22 +45,22 @@
 
 @dataclass(frozen=True, slots=True)
 class AdminParts:
-    """What the admin port of one process shows and does."""
+    """The data sources and actions of one process's admin port."""
 
     operator_keys: Sequence[str]
     ring: EventRing
     metrics: NodeMetrics
     read_status: Callable[[], ProcessStatus]
     probe_health: Callable[[], Probe]
-    """Bad only when the process should be replaced."""
+    """Fails only when the process should be replaced."""
     probe_readiness: Callable[[], Probe]
-    """Bad while the process should get no new callers."""
+    """Fails while the process should get no new callers."""
     actions: AdminActions | None = None
-    """None where there is nothing to edit, as on an agent."""
+    """None where the configuration can't be edited, as on an agent."""
 
 
 def make_application(parts: AdminParts) -> Application:
-    """Return the tornado application of an admin port."""
+    """Return the Tornado application of an admin port."""
     digests = hash_keys(parts.operator_keys)
     keyed = {"digests": digests}
     rules = [
@@ -82,7 +82,7 @@
 
 
 class AdminServer:
-    """Serves an admin port; `port` 0 takes any that is free."""
+    """Serves an admin port; with `port` 0, any free port."""
 
     def __init__(self, parts: AdminParts, address: str, port: int):
         self._parts = parts
@@ -92,11 +92,11 @@
 
     @property
     def port(self) -> int:
-        """Return the port; the real one after `start`."""
+        """Return the port; after `start`, the one that was bound."""
         return self._port
 
     def start(self) -> None:
-        """Begin to listen; raises `OSError` when the port is taken."""
+        """Start listening; raises `OSError` if the port is in use."""
         sockets = bind_sockets(self._port, self._address)
         self._port = sockets[0].getsockname()[1]
         self._server = HTTPServer(
@@ -151,7 +151,7 @@
         self._ring = ring
 
     def get(self) -> None:
-        """Send the newest events that match every filter, oldest first."""
+        """Send the newest events that match all filters, oldest first."""
         after = self._read_stamp()
         limit = self.read_number("limit", EVENT_LIMIT, 1, EVENT_LIMIT)
         names = ("request", "customer", "upstream", "kind")
--- a/packages/mustardquay-node/src/mustardquay_node/agents.py
+++ b/packages/mustardquay-node/src/mustardquay_node/agents.py
@@ -1,4 +1,4 @@
-"""Agents: the process beside one upstream, which gives it all its work."""
+"""Agents: the process that runs next to one upstream and sends it all its requests."""
 
 import asyncio
 from collections.abc import Callable
@@ -44,7 +44,7 @@
 
 
 class Agent(Node):
-    """One agent: links to entries on one side, its upstream on the other."""
+    """Accepts links from entries and runs their attempts on its upstream."""
 
     def __init__(
         self,
@@ -104,16 +104,16 @@
 
     @property
     def port(self) -> int:
-        """Return the port of the links; the real one after `start`."""
+        """Return the port for links; after `start`, the one that was bound."""
         return self._listener.port
 
     @property
     def admin_port(self) -> int:
-        """Return the admin port; the real one after `start`."""
+        """Return the admin port; after `start`, the one that was bound."""
         return self._admin.port
 
     async def start(self) -> None:
-        """Begin to report, to listen and to take work."""
+        """Start polling the upstream, listening for links and accepting work."""
         parts = self._parts
         self._watch(
             {
@@ -136,7 +136,7 @@
         parts.events.record("process.started", upstream=self._settings.upstream_name)
 
     async def drain(self) -> None:
-        """Take no new work, tell all entries, and wait until none is left."""
+        """Refuse new work, notify all entries and wait until the agent is idle."""
         self._parts.events.record(
             "drain.started", upstream=self._settings.upstream_name
         )
@@ -147,17 +147,17 @@
         self._parts.events.record("drain.ended", upstream=self._settings.upstream_name)
 
     def end_drain(self) -> None:
-        """Take new work again, unless an order says otherwise."""
+        """Accept new work again, unless the order row requires a drain."""
         self._drain_asked = False
         self._follow_orders()
 
     async def close(self) -> None:
-        """Drain, then stop."""
+        """Drain and stop."""
         await self.drain()
         await self.stop()
 
     async def stop(self) -> None:
-        """Stop at once; what runs is lost."""
+        """Stop at once; running attempts are lost."""
         self._disconnect()
         if self._sweeper is not None:
             self._sweeper.cancel()
@@ -243,8 +243,8 @@
         return None
 
     def _check_contract(self, attempt: Attempt) -> Refusal | None:
-        # The entry admitted this under an older version than the one in force
-        # here, so the contract may be gone or changed: the newer one decides.
+        # The entry admitted this attempt under an older configuration version. The
+        # contract may have been changed or removed since; the newer version applies.
         contract = self._keeper.configuration.contracts.get(attempt.customer)
         if contract is not None:
             allowed = (*contract.models, *map(name_service, contract.services))
@@ -305,10 +305,10 @@
         self._follow_orders()
 
     def _follow_orders(self) -> None:
-        """Drain while an order asks for it, or while the engine must be changed.
+        """Drain while an order requires it, or while the engine must be changed.
 
-        Work that waits is handed back then: it would else be started, and the
-        engine would never be idle for its order.
+        Queued work is handed back to the entries. Otherwise it would be started, and
+        the engine would never become idle, which an order requires.
         """
         wanted = self._drain_asked or not self._reconciler.ready
         if wanted == self._executor.draining:
@@ -329,20 +329,20 @@
         self._listener.beat()
 
     def list_faults(self) -> tuple[str, ...]:
-        """Return why this process takes no new work, one sentence each."""
+        """Return the reasons why this process is not ready, one sentence each."""
         faults = []
         if self._executor.draining:
-            faults.append("The agent drains.")
+            faults.append("The agent is draining.")
         if not self._reporter.report.reachable:
             faults.append("The upstream does not answer.")
         if self._reporter.report.changing:
-            faults.append("The upstream carries out an order.")
+            faults.append("The upstream is executing an order.")
         if not self._keeper.current:
             faults.append("The configuration is not confirmed.")
         if self._reconciler.superseded:
             faults.append("Another agent has claimed the upstream; stop this one.")
         elif not self._reconciler.ready:
-            faults.append("The upstream is not in the state of its order.")
+            faults.append("The upstream does not match its order.")
         return tuple(faults)
 
     def _make_admin_parts(self) -> AdminParts:
--- a/packages/mustardquay-node/src/mustardquay_node/amendments.py
+++ b/packages/mustardquay-node/src/mustardquay_node/amendments.py
@@ -1,7 +1,8 @@
-"""Amendments: what edits over the admin port have in common.
+"""Amendments: the common part of the admin handlers that edit the configuration.
 
-Each edit names the revision of what it amends, and a change id, under which it may
-be sent again after a lost answer without being applied twice.
+Each edit contains the revision of each item that it amends and a change id. The
+change id makes it idempotent: after a lost answer the same edit may be sent again
+and is not applied twice.
 """
 
 from collections.abc import Awaitable, Callable, Sequence
@@ -25,7 +26,7 @@
 ]
 
 CHANGE_ID_HEADER = "Mustardquay-Change"
-"""Request header with the change id; without it one is made up."""
+"""Request header with the change id; if it is missing, an id is generated."""
 
 Result = TypeVar("Result")
 
@@ -33,10 +34,10 @@
 
 
 class AdminActions(Protocol):
-    """What the admin port of an entry can do."""
+    """The configuration actions of an entry's admin port."""
 
     async def read_configuration(self) -> Configuration:
-        """Return the newest configuration, confirmed by the store if it is up."""
+        """Return the newest configuration, confirmed by the store if available."""
 
     async def apply_edit(self, edit: Edit) -> int:
         """Append the edit to the log and return its version.
@@ -46,17 +47,17 @@
         """
 
     async def preview_edit(self, edit: Edit) -> Sequence[str]:
-        """Return what the edit would cost, a sentence each, without applying it.
+        """Return the costs of the edit, one sentence each, without applying it.
 
-        Raises as `apply_edit` does where the edit would be refused.
+        Raises the same errors as `apply_edit` if the edit would be refused.
         """
 
 
 class AmendmentHandler(AdminHandler):
-    """Edits the configuration; shows what is there when an edit lost a race."""
+    """Edits the configuration; a conflict is answered with the current items."""
 
     def initialize(self, actions: AdminActions, **keyed: Any) -> None:
-        """Take the actions and what every admin handler takes."""
+        """Set the actions and the arguments of every admin handler."""
         super().initialize(**keyed)
         self.actions = actions
         self._amendments: tuple[Amendment, ...] = ()
@@ -74,7 +75,7 @@
         return await self._try(self.actions.apply_edit, amendments)
 
     async def preview(self, *amendments: Amendment) -> Sequence[str]:
-        """Return what amendments would cost; nothing is applied."""
+        """Return the costs of the amendments without applying them."""
         return await self._try(self.actions.preview_edit, amendments)
 
     async def _try(
@@ -91,7 +92,7 @@
             raise
 
     def add_details(self, error: BaseException | None) -> dict[str, Any]:
-        """Show what is there now of all that a lost edit named."""
+        """Return the current state of each item that a refused edit conflicts with."""
         if self._present is None or not isinstance(error, ConflictError):
             return {}
         conflicts = [
--- a/packages/mustardquay-node/src/mustardquay_node/changes.py
+++ b/packages/mustardquay-node/src/mustardquay_node/changes.py
@@ -13,7 +13,7 @@
     """`/admin/changes`."""
 
     async def get(self) -> None:
-        """Send all the planned changes in the order of their names."""
+        """Send all planned changes, sorted by name."""
         configuration = await self.actions.read_configuration()
         changes = sorted(configuration.changes.items())
         self.send(
@@ -24,7 +24,7 @@
         )
 
     async def post(self) -> None:
-        """Announce a planned change, or with `?preview=1` only tell its cost."""
+        """Announce a planned change, or with `?preview=1` only return its cost."""
         document = check_document(ChangeDocument, self.read_body(), "change")
         change = document.to_change()
         amendment = ChangeAmendment(change.name, change.revision, change)
@@ -45,7 +45,7 @@
         self.send(describe_change(self._find(configuration, name)))
 
     async def delete(self, name: str) -> None:
-        """Cancel the change; `?revision=` guards against a racing edit."""
+        """Cancel the change; `?revision=` protects against concurrent edits."""
         configuration = await self.actions.read_configuration()
         present = self._find(configuration, name).revision
         revision = self.read_number("revision", present, 0, LARGEST_REVISION)
--- a/packages/mustardquay-node/src/mustardquay_node/configurations.py
+++ b/packages/mustardquay-node/src/mustardquay_node/configurations.py
@@ -1,9 +1,10 @@
-"""Configurations: the configuration in force in one process, and how it moves on.
+"""Configurations: the configuration in force in one process, and how it is updated.
 
-A few entries of each zone read the head of the log; all other processes get the
-entries over their links. A version never goes down. A process is current, and may
-take work, once its version was confirmed: by the head row of the table service or,
-while the store is out of reach, by peers that are current themselves.
+A few entry processes of each zone poll the head row of the configuration log; all
+other processes get the log's entries over their links. The version never decreases. A
+process is current, and may accept work, once its version was confirmed: by the head
+row of the table service or, while the store is unavailable, by peers that are current
+themselves.
 """
 
 import asyncio
@@ -38,7 +39,7 @@
 logger = logging.getLogger(__name__)
 
 configuration_changed = Signal(
-    "Sent by a keeper when a new version is in force, with the argument "
+    "Sent by a replica when a new version is in force, with the argument "
     "`configuration`."
 )
 
@@ -50,10 +51,10 @@
 
 
 class ConfigurationKeeper:
-    """Holds the configuration of one process.
+    """One process's replica of the configuration log.
 
-    `is_reader` says at each turn whether this process is one of those of its zone
-    that poll the head. Any process polls until it is current.
+    `is_reader` returns whether this process is currently one of those of its zone
+    that poll the head row. Every process polls until it is current.
     """
 
     def __init__(
@@ -98,16 +99,16 @@
 
     @property
     def peer_versions(self) -> Mapping[str, int]:
-        """Return the versions of the processes at the other ends of the links."""
+        """Return the configuration versions of the linked processes."""
         return self._heard
 
     @property
     def wanted_after(self) -> int | None:
-        """Return the version behind which entries are missing, None if none are."""
+        """Return the version after which entries are missing, or None."""
         return self.version if self._highest > self.version else None
 
     async def start(self) -> None:
-        """Begin to poll."""
+        """Start polling."""
         self._task = start_loop(self._poll_if_due, self._interval, self._random)
 
     async def close(self) -> None:
@@ -119,9 +120,9 @@
         self._task = None
 
     async def poll(self) -> Row | None:
-        """Read the head and catch up with it; return its row.
+        """Read the head row, catch up with it and return it.
 
-        Raises `StoreUnavailable` when the store is out of reach.
+        Raises `StoreUnavailable` when the store can't be reached.
         """
         async with self._lock:
             try:
@@ -137,7 +138,7 @@
             return head
 
     def hear(self, peer: str, version: int, current: bool) -> None:
-        """Take in the version of a peer's heartbeat and whether it is current."""
+        """Update a peer's version, and whether it is current, from its heartbeat."""
         self._highest = max(self._highest, version)
         self._heard[peer] = version
         if current:
@@ -147,12 +148,12 @@
         self._confirm_by_peers()
 
     def forget(self, peer: str) -> None:
-        """Take in that the link to a peer is lost; its word counts no more."""
+        """Remove a peer whose link is lost; it can't confirm a version any more."""
         self._peers.pop(peer, None)
         self._heard.pop(peer, None)
 
     def offer(self, entries: Iterable[Entry]) -> None:
-        """Take in entries in any order; those behind a gap wait for it to close."""
+        """Add entries in any order; those after a gap are applied once it is filled."""
         for entry in entries:
             self._highest = max(self._highest, entry.version)
             if entry.version <= self.version:
@@ -162,7 +163,7 @@
         self._apply_pending()
 
     def offer_items(self, items: Iterable[bytes]) -> None:
-        """Take in what `list_items` of a peer gave; raises `ProtocolError`."""
+        """Add the result of a peer's `list_items`; raises `ProtocolError`."""
         entries = []
         for item in items:
             mark, data = item[:1], item[1:]
@@ -171,13 +172,15 @@
             elif mark == ENTRY_MARK:
                 entries.append(decode_bytes(Entry, data))
             else:
-                raise ProtocolError("An item of the log has no mark; upgrade the peer.")
+                raise ProtocolError(
+                    "A configuration log item has an unknown type; upgrade the peer."
+                )
         self.offer(entries)
 
     def list_items(self, after: int) -> Sequence[bytes]:
-        """Return what a peer at version `after` lacks, oldest first.
+        """Return the items that a peer at version `after` lacks, oldest first.
 
-        A peer that is too far behind gets the whole configuration in one item.
+        A peer that is too far behind gets the whole configuration as one item.
         """
         if after >= self.version:
             return ()
@@ -195,7 +198,7 @@
         try:
             await self.poll()
         except MustardquayError as error:
-            logger.info("The configuration can't be polled: %s", error)
+            logger.info("Polling the configuration failed: %s", error)
 
     async def _catch_up(self, head: int) -> None:
         self._highest = max(self._highest, head)
@@ -243,8 +246,8 @@
         configuration_changed.send(self, configuration=configuration)
 
     def _confirm_by_peers(self) -> None:
-        # Only while the store is out of reach: a peer may be cut off from the
-        # store itself, and its word is weaker than that of the head row.
+        # Only while the store is unavailable: a peer may have lost contact with the
+        # store itself, so the head row takes precedence over it.
         if self._store_up or self._current or not self._peers:
             return
         if self.version >= max(self._peers.values()) and self.wanted_after is None:
--- a/packages/mustardquay-node/src/mustardquay_node/contracts.py
+++ b/packages/mustardquay-node/src/mustardquay_node/contracts.py
@@ -17,7 +17,7 @@
     """`/admin/contracts`."""
 
     async def get(self) -> None:
-        """Send a page of contracts in the order of customers."""
+        """Send a page of contracts, sorted by customer."""
         after = self.get_query_argument("after", "")
         limit = self.read_number("limit", _PAGE, 1, _PAGE)
         configuration = await self.actions.read_configuration()
@@ -32,7 +32,7 @@
         )
 
     async def post(self) -> None:
-        """Apply several contracts in one edit: all of them or none."""
+        """Apply several contracts atomically, in one edit."""
         body = self.read_body()
         if not isinstance(body, dict) or not isinstance(body.get("contracts"), list):
             raise self.fault(400, 'The body lacks a list "contracts"; add it.')
@@ -54,14 +54,14 @@
         self.send(describe_contract(self._find(configuration, customer)))
 
     async def put(self, customer: str) -> None:
-        """Apply one contract."""
+        """Create or replace one contract."""
         await self._apply(customer, self.read_body())
 
     async def patch(self, customer: str) -> None:
-        """Change some fields; `keys` are added, all others replace.
+        """Change some fields; `keys` are added, other fields are replaced.
 
-        Without a `revision` in the body, the one that was just read is amended, so
-        that an edit that comes between still leads to a conflict.
+        Without a `revision` in the body, the edit applies to the revision that was
+        just read, so that a concurrent edit still causes a conflict.
         """
         changes = self.read_body()
         if not isinstance(changes, dict):
@@ -74,7 +74,7 @@
         await self._apply(customer, present | changes)
 
     async def delete(self, customer: str) -> None:
-        """Remove the contract whose revision `?revision=` names."""
+        """Remove the contract if its revision is the one in `?revision=`."""
         revision = self.read_number("revision", 0, 0, LARGEST_REVISION)
         self._find(await self.actions.read_configuration(), customer)
         version = await self.amend(ContractAmendment(customer, revision, None))
--- a/packages/mustardquay-node/src/mustardquay_node/releases.py
+++ b/packages/mustardquay-node/src/mustardquay_node/releases.py
@@ -14,7 +14,7 @@
     """`/admin/releases`."""
 
     async def get(self) -> None:
-        """Send all the releases in the order of their models."""
+        """Send all releases, sorted by model."""
         configuration = await self.actions.read_configuration()
         releases = sorted(configuration.releases.items())
         self.send(
@@ -46,7 +46,7 @@
         self.send(describe_release(self._find(configuration, model)))
 
     async def delete(self, model: str) -> None:
-        """End the service of a model whose revision `?revision=` names."""
+        """Stop serving the model if its release has the revision in `?revision=`."""
         revision = self.read_number("revision", 0, 0, LARGEST_REVISION)
         self._find(await self.actions.read_configuration(), model)
         version = await self.amend(ReleaseAmendment(model, revision, None))
