--- a/packages/mustardquay-node/src/mustardquay_node/agents.py
+++ b/packages/mustardquay-node/src/mustardquay_node/agents.py
@@ -93,8 +93,8 @@
             self._beat,
             self._orphans.record,
         )
-        self._agents_known = 1
-        self._drain_asked = False
+        self._agent_count = 1
+        self._drain_requested = False
         self._reconciler = self._make_reconciler()
         self._admin = AdminServer(
             self._make_admin_parts(), settings.node.address, settings.node.admin_port
@@ -140,7 +140,7 @@
         self._parts.events.record(
             "drain.started", upstream=self._settings.upstream_name
         )
-        self._drain_asked = True
+        self._drain_requested = True
         self._executor.start_drain()
         self._beat()
         await self._executor.wait_until_empty()
@@ -148,7 +148,7 @@
 
     def end_drain(self) -> None:
         """Accept new work again, unless the order row requires a drain."""
-        self._drain_asked = False
+        self._drain_requested = False
         self._follow_orders()
 
     async def close(self) -> None:
@@ -213,12 +213,12 @@
             case Reattach():
                 self._take_reattach(owner, message, link)
             case OrderChanged():
-                self._reconciler.nudge()
+                self._reconciler.poll_soon()
             case _:
                 if isinstance(message, Heartbeat):
                     now = self._parts.clock.monotonic()
                     self._parts.quarantine.merge(message.crashes, now)
-                    self._agents_known = max(message.agents, 1)
+                    self._agent_count = max(message.agents, 1)
                 spread_configuration(self._keeper, link, message)
 
     def _take_attempt(self, owner: Owner, attempt: Attempt, link: Link) -> None:
@@ -297,7 +297,7 @@
             settings.fencing,
             settings.longest_order,
             is_idle=lambda: not self._executor.running,
-            count_agents=lambda: self._agents_known,
+            count_agents=lambda: self._agent_count,
         )
 
     def _sweep(self) -> None:
@@ -310,16 +310,16 @@
         Queued work is handed back to the entries. Otherwise it would be started, and
         the engine would never become idle, which an order requires.
         """
-        wanted = self._drain_asked or not self._reconciler.ready
-        if wanted == self._executor.draining:
+        drain_needed = self._drain_requested or not self._reconciler.ready
+        if drain_needed == self._executor.draining:
             return
-        kind = "drain.started" if wanted else "drain.ended"
+        kind = "drain.started" if drain_needed else "drain.ended"
         row = self._reconciler.row
         cause = row.cause if row is not None else "no order yet"
         self._parts.events.record(
             kind, upstream=self._settings.upstream_name, cause=cause
         )
-        if wanted:
+        if drain_needed:
             self._executor.start_drain()
         else:
             self._executor.end_drain()
--- a/packages/mustardquay-node/src/mustardquay_node/configurations.py
+++ b/packages/mustardquay-node/src/mustardquay_node/configurations.py
@@ -73,8 +73,8 @@
         self._configuration = Configuration()
         self._current = False
         self._store_up = True
-        self._peers: dict[str, int] = {}
-        self._heard: dict[str, int] = {}
+        self._current_peers: dict[str, int] = {}
+        self._peer_versions: dict[str, int] = {}
         self._pending: dict[int, Entry] = {}
         self._recent: deque[tuple[int, bytes]] = deque(maxlen=KEPT_ENTRIES)
         self._snapshot: tuple[int, bytes] | None = None
@@ -100,7 +100,7 @@
     @property
     def peer_versions(self) -> Mapping[str, int]:
         """Return the configuration versions of the linked processes."""
-        return self._heard
+        return self._peer_versions
 
     @property
     def wanted_after(self) -> int | None:
@@ -140,17 +140,17 @@
     def hear(self, peer: str, version: int, current: bool) -> None:
         """Update a peer's version, and whether it is current, from its heartbeat."""
         self._highest = max(self._highest, version)
-        self._heard[peer] = version
+        self._peer_versions[peer] = version
         if current:
-            self._peers[peer] = version
+            self._current_peers[peer] = version
         else:
-            self._peers.pop(peer, None)
+            self._current_peers.pop(peer, None)
         self._confirm_by_peers()
 
     def forget(self, peer: str) -> None:
         """Remove a peer whose link is lost; it can't confirm a version any more."""
-        self._peers.pop(peer, None)
-        self._heard.pop(peer, None)
+        self._current_peers.pop(peer, None)
+        self._peer_versions.pop(peer, None)
 
     def offer(self, entries: Iterable[Entry]) -> None:
         """Add entries in any order; those after a gap are applied once it is filled."""
@@ -248,9 +248,12 @@
     def _confirm_by_peers(self) -> None:
         # Only while the store is unavailable: a peer may have lost contact with the
         # store itself, so the head row takes precedence over it.
-        if self._store_up or self._current or not self._peers:
+        if self._store_up or self._current or not self._current_peers:
             return
-        if self.version >= max(self._peers.values()) and self.wanted_after is None:
+        if (
+            self.version >= max(self._current_peers.values())
+            and self.wanted_after is None
+        ):
             self._confirm()
 
     def _confirm(self) -> None:
--- a/packages/mustardquay-node/src/mustardquay_node/controllers.py
+++ b/packages/mustardquay-node/src/mustardquay_node/controllers.py
@@ -1,8 +1,8 @@
 """Controllers: hold the lease of a control domain and write its order rows.
 
-Entry processes hold the leases. The holder carries out what the configuration and
-the deciders ask for, and what is under way stands in the order rows: after its
-death another holder goes on from them.
+Entry processes hold the leases. The holder applies the configuration and the results
+of the deciders. All progress is stored in the order rows, so that after its failure
+another holder continues from them.
 """
 
 import asyncio
@@ -49,22 +49,23 @@
     [Configuration, Sequence[EngineStatus], datetime, Sequence[EngineStatus]],
     list[tuple[EngineStatus, OrderRow]],
 ]
-"""Returns the rows to write now; an empty list leaves the turn to the next one.
+"""Returns the rows to write now; after an empty list the next decider is called.
 
-The engines are those of the domain and, in a small fleet, those of all domains."""
+The arguments are the configuration, the engines of the domain, the current time and,
+in a small fleet, the engines of all domains."""
 
 SCAN_LIMIT = 1000
 IDLE_ROUNDS = 10
-"""While nothing is under way, the rows are read in one turn of so many."""
+"""While nothing is in progress, the rows are read only once in this many runs."""
 
 
 class Controller:
-    """Holds or waits for the lease of one domain.
+    """Holds, or competes for, the lease of one domain.
 
-    `candidate` must be unique for each start of a process. `is_candidate` says at
-    each turn whether this process is one of those that may hold the lease,
-    `find_instance` names the instance of an upstream, and `count_agents` says how
-    many agents the fleet has.
+    `candidate` must be unique for each start of a process. `is_candidate` returns
+    whether this process may currently hold the lease, `find_instance` returns the
+    instance of an upstream, and `count_agents` returns the number of agents in the
+    fleet.
     """
 
     def __init__(
@@ -100,30 +101,30 @@
 
     @property
     def domain(self) -> str:
-        """Return the domain whose lease it competes for."""
+        """Return the domain of the lease."""
         return self._domain
 
     @property
     def held(self) -> bool:
-        """Return whether this process was the holder at its last turn."""
+        """Return whether this process held the lease after its last run."""
         return self._held
 
     @property
     def fence(self) -> int:
-        """Return the fence under which it last held the lease."""
+        """Return the fencing number of the lease when this process last held it."""
         return self._lease.fence
 
     @property
     def engines(self) -> Sequence[EngineStatus]:
-        """Return the engines of the domain as the holder last read them."""
+        """Return the engines of the domain as last read while holding the lease."""
         return self._engines
 
     async def start(self) -> None:
-        """Begin to compete for the lease."""
+        """Start competing for the lease."""
         self._task = start_loop(self.turn, self._interval, self._random)
 
     async def close(self) -> None:
-        """Stop, and give up the lease so that another goes on at once."""
+        """Stop and release the lease, so that another process can take it at once."""
         if self._task is not None:
             self._task.cancel()
             await asyncio.gather(self._task, return_exceptions=True)
@@ -134,14 +135,21 @@
         try:
             await self._tables.transact(transaction)
         except MustardquayError as error:
-            logger.info("%s: the lease runs out by itself: %s", self._domain, error)
+            logger.info(
+                "%s: the lease was not released and will expire: %s",
+                self._domain,
+                error,
+            )
 
     def wake(self) -> None:
-        """Read the rows at the next turn, since a decider has something new."""
+        """Read the rows in the next run, because a decider's input has changed."""
         self._idle_rounds = 0
 
     async def turn(self) -> None:
-        """Renew or compete, then write what is due; never raises store errors."""
+        """Renew or compete for the lease, then write the rows that are due.
+
+        Never raises store errors.
+        """
         try:
             if self._held or self._is_candidate():
                 await self._compete()
@@ -149,7 +157,7 @@
             if self._held:
                 await self._carry_out()
         except MustardquayError as error:
-            logger.info("%s: nothing can be ordered: %s", self._domain, error)
+            logger.info("%s: order rows can't be updated: %s", self._domain, error)
             self._note_lease()
 
     async def _compete(self) -> None:
@@ -183,7 +191,8 @@
         proposals = self._decide(configuration, fleet)
         if proposals:
             await self._write(proposals, head)
-        # Also while another zone has the turn in a release.
+        # Keep reading also while another zone's engines are changed by a release: this
+        # zone may continue afterwards.
         if proposals or not all(
             status.is_available for status in fleet or self._engines
         ):
@@ -191,7 +200,7 @@
         self._idle_rounds = IDLE_ROUNDS
 
     async def _read_fleet(self) -> list[EngineStatus]:
-        """Read the rows of the domain and, in a small fleet, those of all."""
+        """Read the rows of the domain or, in a small fleet, of all domains."""
         small = self._count_agents() <= SMALL_FLEET_ENGINES
         domain = "" if small else self._domain
         fleet = await read_engines(self._tables, domain, self._find_instance)
@@ -216,8 +225,8 @@
         self, proposals: list[tuple[EngineStatus, OrderRow]], head: Row | None
     ) -> None:
         keys = [f"{self._domain}/{status.upstream.name}" for status, _ in proposals]
-        # A holder whose configuration is a moment old would return an engine to
-        # service that was just drained: the rows follow from the present head.
+        # The rows must be derived from the current head. A holder with an outdated
+        # configuration would return an engine to service that was just drained.
         configured = Condition(
             CONFIGURATIONS, HEAD_KEY, 0 if head is None else head.revision
         )
@@ -229,8 +238,8 @@
             Write(ORDERS, key, encode(row))
             for key, (_, row) in zip(keys, proposals, strict=True)
         )
-        # An answer that is lost needs no reading back: the rows are read anew
-        # before the next ones are decided.
+        # After a lost answer nothing needs to be resolved here: the rows are read
+        # again before the next ones are decided.
         result = await self._tables.transact(
             fence_writes(
                 self._domain,
@@ -241,7 +250,7 @@
         )
         if result:
             rows = {status.upstream.name: row for status, row in proposals}
-            logger.info("%s: new order rows: %s", self._domain, rows)
+            logger.info("%s: wrote order rows: %s", self._domain, rows)
             rows_written.send(self, rows=rows)
 
 
@@ -250,7 +259,7 @@
     domain: str = "",
     find_instance: Callable[[str], str] = lambda upstream: upstream,
 ) -> list[EngineStatus]:
-    """Return what the tables say of the engines of a domain, or of all domains."""
+    """Return the status of a domain's engines, or of all engines, from the tables."""
     prefix = f"{domain}/" if domain else ""
     orders = await _scan(tables, ORDERS, prefix)
     reports = await _scan(tables, ENGINE_REPORTS, prefix)
@@ -271,7 +280,7 @@
 def make_cost_check(
     tables: TableService, find_instance: Callable[[str], str]
 ) -> EditCheck:
-    """Return a check of edits that tells and weighs the cost of planned changes."""
+    """Return a check that computes and validates the cost of planned changes."""
 
     async def check(result: Configuration, edit: Edit) -> list[Cost]:
         values = [amendment.value for amendment in edit.amendments]
--- a/packages/mustardquay-node/src/mustardquay_node/editors.py
+++ b/packages/mustardquay-node/src/mustardquay_node/editors.py
@@ -1,7 +1,7 @@
-"""Editors: bring an operator's edit into the configuration log.
+"""Editors: append an operator's edits to the configuration log.
 
-Any process may do it; racing edits are decided by the table service. Snapshots are
-written by whoever brings in an entry that makes one due.
+Any process may append. Concurrent edits are resolved by the table service. A snapshot
+is written by the process that appended the entry for which it is due.
 """
 
 import logging
@@ -44,7 +44,7 @@
 logger = logging.getLogger(__name__)
 
 EditCheck = Callable[[Configuration, Edit], Awaitable[object]]
-"""Raises `DocumentError` when the edit must not lead to this configuration."""
+"""Raises `DocumentError` if the edit that leads to this configuration is invalid."""
 
 FIRST_WAIT = timedelta(milliseconds=100)
 LONGEST_WAIT = timedelta(seconds=2)
@@ -52,7 +52,7 @@
 
 
 class ConfigurationEditor:
-    """Proposes edits; `checks` are run on each result beside `check_edit`."""
+    """Proposes edits; `checks` run on each result in addition to `check_edit`."""
 
     def __init__(
         self,
@@ -79,11 +79,12 @@
         self._sleep = sleep
 
     async def propose(self, edit: Edit) -> int:
-        """Return the version under which the edit was accepted.
+        """Append the edit and return its version.
 
-        Raises `ConflictError` or `DocumentError` when it was refused, and
-        `StoreUnavailable` when it was surely not accepted. After `StoreResultUnknown`
-        it may have been: propose it again with the same change id.
+        Raises `ConflictError` or `DocumentError` if the edit was refused, and
+        `StoreUnavailable` if it was certainly not accepted. After
+        `StoreResultUnknown` it may have been accepted: propose it again with the same
+        change id.
         """
         known = await self._tables.read(CONFIGURATIONS, CHANGE_PREFIX + edit.change_id)
         if known is not None:
@@ -94,8 +95,8 @@
             result = await self._commit(entry, head, deadline)
             if isinstance(result, Accepted):
                 break
-            # Another edit came first. This one is checked against the new head:
-            # it still stands if the other amended something else.
+            # Another edit was committed first. This one is checked against the new
+            # head and is still valid if the other amended different items.
             self._check_time(deadline)
         if result.version == entry.version:
             self._keeper.offer([entry])
@@ -103,9 +104,9 @@
         return result.version
 
     async def preview(self, edit: Edit) -> list[str]:
-        """Return what the checks have to say of the edit; nothing is proposed.
+        """Return the notes of the checks on the edit without proposing it.
 
-        Raises as `propose` does where the edit would be refused.
+        Raises the same errors as `propose` if the edit would be refused.
         """
         await self._keeper.poll()
         configuration = self._keeper.configuration
@@ -117,15 +118,15 @@
         head = await self._keeper.poll()
         configuration = self._keeper.configuration
         if configuration.version != read_version(head):
-            # An entry arrived over a link after the head was read.
+            # An entry was received over a link after the head was read.
             head = await self._keeper.poll()
             configuration = self._keeper.configuration
         result = check_edit(configuration, edit, self._catalogue())
         for check in self._checks:
             await check(result, edit)
         entry = Entry(read_version(head) + 1, edit)
-        # An entry that is committed and can't be read back would stop every
-        # process at the version before it, for good.
+        # A committed entry that can't be decoded would block every process at the
+        # previous version permanently.
         decode(Entry, encode(entry))
         return entry, head
 
@@ -143,9 +144,9 @@
             except StoreUnavailable:
                 if unclear is None:
                     raise
-            # The answer was lost after the write may have taken effect. The same
-            # transaction is sent again: its condition on the change id lets it
-            # apply once, and its conflict tells whether the first copy did.
+            # The answer was lost, and the write may have been applied. The same
+            # transaction is retried: its condition on the change id makes it
+            # idempotent, and a conflict shows whether the first copy was applied.
             delay = draw_delay(self._random, attempt, FIRST_WAIT, LONGEST_WAIT)
             if self._clock.monotonic() + delay >= deadline:
                 raise unclear
@@ -155,7 +156,7 @@
     def _check_time(self, deadline: timedelta) -> None:
         if self._clock.monotonic() >= deadline:
             raise StoreUnavailable(
-                "Other edits came first each time; propose this one again."
+                "Other edits were committed first each time; propose this one again."
             )
 
     async def _write_snapshot(self, version: int) -> None:
@@ -164,7 +165,7 @@
         try:
             await self._save(version)
         except MustardquayError as error:
-            # The log is whole without it; the next one that is due makes up for it.
+            # The log is complete without it, and the next snapshot replaces it.
             logger.warning("Snapshot %d was not written: %s", version, error)
 
     async def _save(self, version: int) -> None:
@@ -189,7 +190,7 @@
             await self._prune(read_version(row))
 
     async def _prune(self, version: int) -> None:
-        """Delete the entries up to the last snapshot but one, with change ids."""
+        """Delete the entries and change ids up to the previous snapshot."""
         while True:
             rows = await self._tables.scan(CONFIGURATIONS, ENTRY_PREFIX, PRUNE_BATCH)
             old = [
--- a/packages/mustardquay-node/src/mustardquay_node/engines.py
+++ b/packages/mustardquay-node/src/mustardquay_node/engines.py
@@ -1,4 +1,4 @@
-"""Engines: the control calls of an agent to the upstream beside it."""
+"""Engines: control calls from an agent to its upstream."""
 
 from datetime import timedelta
 from typing import Any, Protocol
@@ -17,19 +17,19 @@
 
 
 class EngineControl(Protocol):
-    """What a reconciler needs of an upstream."""
+    """The upstream interface that a reconciler uses."""
 
     async def start(self) -> None:
-        """Open what the calls need."""
+        """Open the resources for calls."""
 
     async def close(self) -> None:
-        """Abandon the calls under way."""
+        """Abort the calls in progress."""
 
     async def read_state(self) -> EngineState | None:
-        """Return what the upstream is, or None when it does not answer."""
+        """Return the upstream's state, or None if it does not answer."""
 
     async def send_order(self, order: Order, timeout: timedelta) -> OrderResult:
-        """Send an order and give up after `timeout`."""
+        """Send an order; give up after `timeout`."""
 
 
 class _StateDocument(BaseModel):
@@ -45,24 +45,24 @@
 
 
 class HttpEngine:
-    """A model engine, as docs/PLATFORM.md describes it."""
+    """A model engine with the HTTP interface of docs/PLATFORM.md."""
 
     def __init__(self, base_url: str):
         self._base_url = base_url.rstrip("/")
         self._client: AsyncHTTPClient | None = None
 
     async def start(self) -> None:
-        """Make the HTTP client."""
+        """Create the HTTP client."""
         self._client = AsyncHTTPClient(force_instance=True, max_clients=4)
 
     async def close(self) -> None:
-        """Abandon the calls under way."""
+        """Abort the calls in progress."""
         if self._client is not None:
             self._client.close()
             self._client = None
 
     async def read_state(self) -> EngineState | None:
-        """Return what the engine is, or None when it does not answer."""
+        """Return the engine's state, or None if it does not answer."""
         response = await self._fetch("/state", "GET", None, STATE_TIMEOUT)
         if response is None or response.code != 200:
             return None
@@ -73,7 +73,7 @@
         return EngineState(**state.model_dump())
 
     async def send_order(self, order: Order, timeout: timedelta) -> OrderResult:
-        """Send an order and give up after `timeout`."""
+        """Send an order; give up after `timeout`."""
         body = orjson.dumps(
             {
                 "fence": order.fence,
@@ -90,7 +90,7 @@
             return OrderResult.ACCEPTED
         if response.code == 409:
             return _read_conflict(response)
-        # Not one of the protocol's answers: the state that is observed next tells.
+        # Not an answer of the protocol; the next observed state shows the result.
         return OrderResult.LOST
 
     async def _fetch(
@@ -122,7 +122,7 @@
 
 
 class PlainService:
-    """A plain service: it takes no orders and is always what it should be."""
+    """A plain service: it accepts no orders and is always in its desired state."""
 
     async def start(self) -> None:
         """Do nothing."""
@@ -131,9 +131,9 @@
         """Do nothing."""
 
     async def read_state(self) -> EngineState | None:
-        """Return a state that is settled."""
+        """Return a constant state with no change in progress."""
         return EngineState("service", 1, Role.SERVICE, {})
 
     async def send_order(self, order: Order, timeout: timedelta) -> OrderResult:
-        """Answer that the order changes nothing."""
+        """Refuse the order, since a plain service can't be changed."""
         return OrderResult.BUSY
--- a/packages/mustardquay-node/src/mustardquay_node/executions.py
+++ b/packages/mustardquay-node/src/mustardquay_node/executions.py
@@ -1,4 +1,4 @@
-"""Executions: one run on its upstream, from its first byte to its answer's end."""
+"""Executions: the upstream call of one run, from the request to the answer's end."""
 
 import asyncio
 from collections.abc import Callable
@@ -8,40 +8,40 @@
 from mustardquay.messages import Header
 
 from .runs import Run
-from .streams import EventCutter
+from .streams import EventFramer
 from .upstreams import UpstreamCall
 
 __all__ = ["Execution"]
 
-FIRST_ERROR = 500
-"""Lowest status with which an engine says that it failed, not the request."""
+MIN_ERROR_STATUS = 500
+"""Lowest status that reports a failure of the engine, not of the request."""
 
 
 class Execution:
-    """Carries the answer of an upstream's call over to its run."""
+    """Makes the upstream call of a run and passes the answer on to it."""
 
     def __init__(
         self,
         run: Run,
         kind: Literal["engine", "service"],
         now: Callable[[], timedelta],
-        sending: Callable[[Run], None],
-        answering: Callable[[Run], None],
+        on_send: Callable[[Run], None],
+        on_first_data: Callable[[Run], None],
     ):
-        """Prepare the call.
+        """Create the call.
 
-        `sending` is called just before its first byte, and `answering` with the
-        first data of the answer.
+        `on_send` is called just before its first byte is sent, and `on_first_data`
+        when the first data of the answer arrives.
         """
         self.run = run
         self.stalled = False
-        """Whether it was ended because the upstream made no progress."""
+        """Whether the call was ended because the upstream made no progress."""
         self.tokens = 0
         self._kind = kind
         self._now = now
-        self._sending = sending
-        self._answering = answering
-        self._cutter = EventCutter()
+        self._on_send = on_send
+        self._on_first_data = on_first_data
+        self._framer = EventFramer()
         self._status = 0
         self.call = UpstreamCall(
             run.attempt.method,
@@ -55,27 +55,27 @@
 
     @property
     def status(self) -> int:
-        """Return the status of the answer, 0 before there is one."""
+        """Return the status of the answer, or 0 before it has arrived."""
         return self._status
 
     @property
     def has_engine_error(self) -> bool:
-        """Return whether the answer says that the engine failed."""
-        return self._kind == "engine" and self._status >= FIRST_ERROR
+        """Return whether the status of the answer reports an engine failure."""
+        return self._kind == "engine" and self._status >= MIN_ERROR_STATUS
 
     @property
     def has_end_mark(self) -> bool:
-        """Return whether the answer, if it is a stream, has come to its end mark."""
-        return not self._is_stream or self._cutter.is_done
+        """Return whether the answer is complete: a stream needs its end mark."""
+        return not self._is_stream or self._framer.is_done
 
     def stop(self, stalled: bool = False) -> None:
-        """Close the connection; the call then ends as broken, or as not sent."""
+        """Close the connection; the call ends as `BROKEN` or `NOT_SENT`."""
         self.stalled = stalled
         self.call.cancel()
 
     def _note_sending(self) -> None:
         self.run.start(self._now())
-        self._sending(self.run)
+        self._on_send(self.run)
 
     def _take_head(self, status: int, headers: tuple[Header, ...]) -> None:
         self._status = status
@@ -90,15 +90,15 @@
             return None
         if not run.first_data:
             run.first_data = True
-            self._answering(run)
+            self._on_first_data(run)
         tokens = 0
         if self._is_stream:
-            data = self._cutter.feed(data)
+            data = self._framer.feed(data)
             tokens = data.count(b"\n\n")
             self.tokens += tokens
         if data:
             run.add_chunk(data, tokens)
-        if run.is_held_back:
+        if run.waits_for_caller:
             return asyncio.ensure_future(run.wait_for_credit())
         return None
 
--- a/packages/mustardquay-node/src/mustardquay_node/executors.py
+++ b/packages/mustardquay-node/src/mustardquay_node/executors.py
@@ -1,4 +1,4 @@
-"""Executors: run attempts on the upstream beside the agent, in a fair order."""
+"""Executors: run attempts on the agent's upstream, scheduled by a fair queue."""
 
 import asyncio
 from collections import deque
@@ -17,21 +17,21 @@
 
 from .executions import Execution
 from .links import Link
-from .runs import Owner, Run, RunTable, make_unseen, make_work
-from .upstreams import CallEnd, UpstreamClient
+from .runs import Owner, Run, RunTable, make_unreceived, make_work
+from .upstreams import CallResult, UpstreamClient
 
 __all__ = ["Executor", "ExecutorOptions"]
 
 RETRY_AFTER = timedelta(seconds=1)
 PAUSE = timedelta(milliseconds=500)
-"""A longer time between two sweeps means that the process did not run."""
-UNSURE = timedelta(seconds=15)
-"""Frames sent so long before a link was lost may have been lost with it."""
+"""A longer interval between two sweeps means that the process did not run."""
+LINK_LOSS_WINDOW = timedelta(seconds=15)
+"""Frames sent within this time before a link was lost may not have been delivered."""
 
 
 @dataclass(frozen=True, slots=True)
 class ExecutorOptions:
-    """What an executor has to know of its upstream."""
+    """Options of an executor for its upstream."""
 
     upstream: str
     kind: Literal["engine", "service"]
@@ -41,7 +41,7 @@
 
 
 class Executor:
-    """Takes attempts in, queues them, runs them and answers to the entries."""
+    """Accepts attempts, queues and runs them, and sends the results to the entries."""
 
     def __init__(
         self,
@@ -52,14 +52,14 @@
         clock: Clock,
         events: EventRing,
         probe: Callable[[], "asyncio.Future[str]"],
-        crashed: Callable[[], None],
-        orphaned: Callable[[Run], None],
+        on_crash: Callable[[], None],
+        on_orphan: Callable[[Run], None],
     ):
-        """Take the parts.
+        """Set the dependencies and callbacks.
 
-        `probe` asks the upstream over a new connection for its boot, "" when it
-        does not answer; `crashed` hears of each crash once it is recorded, and
-        `orphaned` of each run that ended while its entry had no link.
+        `probe` requests the upstream's boot over a new connection and returns "" if
+        there is no answer. `on_crash` is called after each crash is recorded, and
+        `on_orphan` with each run that ended while its entry had no link.
         """
         self._options = options
         self._client = client
@@ -70,8 +70,8 @@
         self._clock = clock
         self._events = events
         self._probe = probe
-        self._crashed = crashed
-        self._orphaned = orphaned
+        self._on_crash = on_crash
+        self._on_orphan = on_orphan
         self._table = RunTable()
         self._tombstones = Tombstones(now=clock.monotonic())
         self._by_work: dict[tuple[str, int], Run] = {}
@@ -90,22 +90,22 @@
 
     @property
     def waiting_tokens(self) -> int:
-        """Return the prompt tokens that wait here."""
+        """Return the number of prompt tokens in the queue."""
         return self._queue.waiting_tokens
 
     @property
     def waiting_tokens_within(self) -> int:
-        """Return the part of them that customers within their share wait for."""
+        """Return how many of these tokens belong to customers within their share."""
         return self._queue.waiting_tokens_within
 
     @property
     def waiting(self) -> int:
-        """Return how many attempts wait here."""
+        """Return the number of attempts that wait."""
         return self._queue.waiting + len(self._suspects)
 
     @property
     def running(self) -> int:
-        """Return how many attempts run on the upstream."""
+        """Return the number of attempts that run on the upstream."""
         return len(self._executions)
 
     @property
@@ -114,64 +114,64 @@
         return not len(self._table)
 
     def set_engine(self, prefill_rate: float, decode_rate: float) -> None:
-        """Take the rates that the engine reports; 0 means that it had no work."""
+        """Update the rates that the engine reports; 0 means that it was idle."""
         if prefill_rate > 0 and decode_rate > 0:
             concurrency = self._options.concurrency
             self._queue.set_engine(concurrency, prefill_rate, decode_rate)
 
     def note_boot(self, boot: str) -> None:
-        """Take the boot that the upstream reports while it is well."""
+        """Update the boot that the upstream reports while it is reachable."""
         self._boot = boot
 
     def accept(self, owner: Owner, attempt: Attempt, link: Link) -> None:
-        """Take an attempt in, or refuse it for good."""
+        """Accept an attempt, or refuse it permanently."""
         now = self._clock.monotonic()
         work = make_work(attempt, now)
         run = Run(owner, attempt, work, link)
         if self._table.find(run.key) is not None:
             return
         if self._tombstones.holds(run.key, now):
-            # The entry has been told that this attempt will not run.
+            # The entry was already notified that this attempt will not run.
             return
         self._table.add(run)
         self._empty.clear()
-        refusal = self._judge(run, now)
+        refusal = self._admit(run, now)
         if refusal is not None:
             self._refuse(run, refusal)
             return
         self._record("attempt.accepted", run)
-        self._pump()
+        self._start_waiting()
 
     def refuse(
         self, owner: Owner, attempt: Attempt, link: Link, refusal: Refusal
     ) -> None:
-        """Refuse an attempt that must not be taken in."""
+        """Refuse an attempt without queueing it."""
         run = Run(owner, attempt, make_work(attempt, self._clock.monotonic()), link)
         if self._table.find(run.key) is None:
             self._refuse(run, refusal)
 
     def reattach(self, owner: Owner, reattach: Reattach, link: Link) -> None:
-        """Go on with an attempt over a new link, or say what became of it."""
+        """Continue an attempt over a new link, or send its result."""
         run = self._table.find((owner, reattach.stream))
         if run is not None:
             run.reattach(link, reattach.have)
             return
-        run = make_unseen(owner, reattach, link)
+        run = make_unreceived(owner, reattach, link)
         now = self._clock.monotonic()
         if self._table.may_be_forgotten(run.key):
             run.end_failed(FailureKind.LOST, "The run is no longer kept.", now)
         elif not self._tombstones.bury(run.key, now):
-            run.end_failed(FailureKind.LOST, "There is no room to affirm it.", now)
+            run.end_failed(FailureKind.LOST, "There is no room for a tombstone.", now)
         else:
-            # The frame of the attempt can't come any more: it was sent on an older
-            # link, and this agent reads nothing from those. The record stays as a
-            # tombstone all the same.
-            message = "The attempt never came, and will not be run."
+            # The attempt's frame can't arrive any more: it was sent on an older link,
+            # and this agent no longer reads from those. The record is kept as a
+            # tombstone nevertheless.
+            message = "The attempt was never received and will not be run."
             run.end_refused(Refusal(Reason.TOMBSTONE, message), now)
         self._table.note_end(run)
 
     def cancel(self, owner: Owner, stream: int) -> None:
-        """Stop an attempt whose answer is no longer wanted."""
+        """Cancel an attempt whose answer is no longer needed."""
         run = self._table.find((owner, stream))
         if run is None or run.ended:
             return
@@ -185,29 +185,30 @@
         self._refuse(run, Refusal(Reason.DEADLINE, "The entry has cancelled it."))
 
     def give_credit(self, owner: Owner, stream: int, size: int) -> None:
-        """Let more of an answer go to a caller that has taken some."""
+        """Add to the flow control credit of a run after its caller has read data."""
         run = self._table.find((owner, stream))
         if run is not None:
             run.give_credit(size)
 
     def detach(self, link: Link) -> None:
-        """Keep the runs of a link that was lost; their entry may come back."""
+        """Detach the runs of a lost link; their entry may reconnect to them."""
         for run in self._table:
             if run.link is link:
                 run.link = None
-        # What was sent shortly before the link was lost may not have arrived.
-        since = self._clock.monotonic() - UNSURE
+        # Frames sent shortly before the link was lost may not have been delivered.
+        since = self._clock.monotonic() - LINK_LOSS_WINDOW
         for run in self._table.list_ended():
             if run.link is link and run.ended_at is not None and run.ended_at > since:
                 run.link = None
-                self._orphaned(run)
+                self._on_orphan(run)
 
     def sweep(self) -> None:
-        """End what waits too long or makes no progress; call it several times a
-        second.
+        """End attempts that wait too long or make no progress.
+
+        Must be called several times a second.
         """
         now = self._clock.monotonic()
-        self._excuse_pause(now)
+        self._extend_after_pause(now)
         for work in self._queue.expire(now):
             self._refuse(self._by_work[work.key], self._queue.refuse_late(work, now))
         for run in [run for run in self._suspects if run.work.start_by < now]:
@@ -215,19 +216,19 @@
             self._refuse(run, _make_late())
         for execution in self._executions.values():
             if self._is_stalled(execution.run, now):
-                # An engine that hangs, or a connection that was forgotten on its
-                # way, shows as silence. The time is bounded here, so that the
-                # entry can go on elsewhere while the caller still waits.
+                # Nothing arrives from an engine that hangs, or over a connection whose
+                # state was dropped by a device in between. This timeout lets the entry
+                # retry on another upstream while the caller still waits.
                 execution.stop(stalled=True)
         self._table.forget(now)
         self._tombstones.tick(now)
-        self._pump()
+        self._start_waiting()
 
-    def _excuse_pause(self, now: timedelta) -> None:
-        """Don't count the time in which this process did not run.
+    def _extend_after_pause(self, now: timedelta) -> None:
+        """Exclude the time in which this process did not run from progress timeouts.
 
-        After a pause every stream looks stalled, though what the upstream sent
-        meanwhile only waits to be read.
+        After a pause every stream seems to have stalled, although the data that the
+        upstream sent in the meantime is only waiting to be read.
         """
         gap = now - self._swept_at
         self._swept_at = now
@@ -236,7 +237,7 @@
                 run.progress_at += gap
 
     def start_drain(self) -> None:
-        """Refuse new work, and hand back what has not started."""
+        """Refuse new work and hand back attempts that have not started."""
         self._draining = True
         refusal = _make_draining()
         for run in self._table:
@@ -245,14 +246,14 @@
                 self._refuse(run, refusal)
 
     def end_drain(self) -> None:
-        """Take new work again."""
+        """Accept new work again."""
         self._draining = False
 
     async def wait_until_empty(self) -> None:
-        """Wait for running work; hand on what exceeds the drain's time limit.
+        """Wait for running attempts; interrupt those that exceed the drain timeout.
 
-        A run that would outlast the limit is broken off here, so that its entry
-        resumes it elsewhere. What must not be repeated is never broken off.
+        A run that exceeds the timeout is interrupted, so that its entry resumes it on
+        another upstream. Non-repeatable runs are never interrupted.
         """
         try:
             async with asyncio.timeout(self._options.drain_timeout.total_seconds()):
@@ -264,13 +265,13 @@
             await self._empty.wait()
 
     async def close(self) -> None:
-        """Stop everything at once; only after a drain nothing is lost."""
+        """Stop everything at once; running attempts are lost unless it was drained."""
         for task in list(self._tasks):
             task.cancel()
         await asyncio.gather(*self._tasks, return_exceptions=True)
         self._client.close()
 
-    def _judge(self, run: Run, now: timedelta) -> Refusal | None:
+    def _admit(self, run: Run, now: timedelta) -> Refusal | None:
         if self._draining:
             return _make_draining()
         fingerprint = run.attempt.fingerprint
@@ -288,31 +289,31 @@
             self._by_work[run.work.key] = run
         return refusal
 
-    def _pump(self) -> None:
+    def _start_waiting(self) -> None:
         now = self._clock.monotonic()
         self._admit_suspect(now)
         while True:
             work = self._queue.take(now)
             if work is None:
                 return
-            self._begin(self._by_work[work.key])
+            self._start_call(self._by_work[work.key])
 
     def _admit_suspect(self, now: timedelta) -> None:
         if not self._suspects or not self._gate.admit(self._suspects[0].work.key):
             return
         run = self._suspects.popleft()
-        # The second crash may have been told of while this one waited.
+        # A second crash may have been reported while this attempt waited.
         refusal = self._quarantine.refuse(run.attempt.fingerprint, now)
         refusal = refusal or self._offer(run, now)
         if refusal is not None:
             self._refuse(run, refusal)
 
-    def _begin(self, run: Run) -> None:
+    def _start_call(self, run: Run) -> None:
         """Start the call of a run.
 
-        The execution is noted at once, not when its task first runs: a drain or a
-        cancellation that came between would take the run for one that waits, and
-        say that it never started while it does.
+        The execution is registered here, not when its task first runs. A drain or
+        cancellation in between would otherwise treat the run as queued and report that
+        it never started, although it then does.
         """
         execution = Execution(
             run,
@@ -329,26 +330,26 @@
     async def _execute(self, execution: Execution) -> None:
         fresh = not execution.run.attempt.repeatable
         end = await self._client.run(execution.call, fresh)
-        await self._settle(execution, end)
+        await self._handle_result(execution, end)
 
-    async def _settle(self, execution: Execution, end: CallEnd) -> None:
+    async def _handle_result(self, execution: Execution, end: CallResult) -> None:
         run = execution.run
-        if end is CallEnd.NOT_SENT:
+        if end is CallResult.NOT_SENT:
             message = "The upstream takes no connection; ask again later."
             refusal = Refusal(Reason.NO_UPSTREAM, message, RETRY_AFTER)
             self._refuse(run, refusal)
-        elif end is CallEnd.WHOLE and execution.has_engine_error:
+        elif end is CallResult.COMPLETE and execution.has_engine_error:
             message = f"The engine answered with status {execution.status}."
             self._fail(run, FailureKind.ERROR, message)
-        elif end is CallEnd.WHOLE and execution.has_end_mark:
+        elif end is CallResult.COMPLETE and execution.has_end_mark:
             now = self._clock.monotonic()
             self._quarantine.note_answer(run.attempt.fingerprint, now)
-            run.end_whole(now)
+            run.end_complete(now)
             self._finish(run, "attempt.done")
         else:
-            await self._settle_broken(execution)
+            await self._handle_broken(execution)
 
-    async def _settle_broken(self, execution: Execution) -> None:
+    async def _handle_broken(self, execution: Execution) -> None:
         run = execution.run
         if run.cancelled:
             self._fail(run, FailureKind.LOST, "The entry has cancelled it.")
@@ -377,8 +378,8 @@
             upstream=self._options.upstream,
             in_flight=[run.attempt.request for run in running],
         )
-        # Entries must know the suspects before they choose where to retry.
-        self._crashed()
+        # Entries need the list of suspects before they select an upstream to retry on.
+        self._on_crash()
 
     def _fail(self, run: Run, kind: FailureKind, message: str) -> None:
         run.end_failed(kind, message, self._clock.monotonic())
@@ -398,10 +399,10 @@
             self._queue.finish(key, tokens, self._clock.monotonic())
         self._table.note_end(run)
         if run.link is None:
-            self._orphaned(run)
+            self._on_orphan(run)
         if self.is_empty:
             self._empty.set()
-        asyncio.get_running_loop().call_soon(self._pump)
+        asyncio.get_running_loop().call_soon(self._start_waiting)
 
     def _withdraw(self, run: Run) -> None:
         self._queue.withdraw(run.work.key)
@@ -409,16 +410,16 @@
             self._suspects.remove(run)
 
     def _is_stalled(self, run: Run, now: timedelta) -> bool:
-        if run.is_held_back or not run.started:
+        if run.waits_for_caller or not run.started:
             return False
         if not run.attempt.streamed and run.attempt.repeatable:
-            # An answer in one piece shows no progress before its end.
+            # An answer that is not streamed shows no progress before its end.
             return now > run.work.finish_by
         return now - run.progress_at > self._options.progress_timeout
 
     def _note_first_data(self, run: Run) -> None:
         self._queue.note_first_token(run.work.key, run.progress_at)
-        self._pump()
+        self._start_waiting()
 
     def _record(self, kind: str, run: Run, **details: str) -> None:
         self._events.record(
--- a/packages/mustardquay-node/src/mustardquay_node/handlers.py
+++ b/packages/mustardquay-node/src/mustardquay_node/handlers.py
@@ -1,4 +1,4 @@
-"""Handlers: what the handlers of the admin port have in common."""
+"""Handlers: base classes of the admin port's request handlers."""
 
 import hmac
 import logging
@@ -32,41 +32,41 @@
 
 
 def hash_keys(keys: Iterable[str]) -> tuple[bytes, ...]:
-    """Return digests of equal length, so that comparing shows no lengths."""
+    """Return digests of equal length, so that comparisons don't leak key lengths."""
     return tuple(sha256(key.encode()).digest() for key in keys)
 
 
 class BaseHandler(RequestHandler):
-    """Answers in JSON, errors too, and never shows a traceback."""
+    """Responds with JSON, also to errors, and never includes a traceback."""
 
     def set_default_headers(self) -> None:
-        """Name the program; admin answers are not to be cached."""
+        """Set the server header and disable caching."""
         self.set_header("Server", f"mustardquay/{__version__}")
         self.set_header("Cache-Control", "no-store")
 
     def compute_etag(self) -> None:
-        """Leave the tag out; nothing here is cached."""
+        """Omit the ETag, since responses are not cached."""
         return None
 
     def send(self, value: Any) -> None:
-        """End the response with a JSON value."""
+        """Send a JSON value and finish the response."""
         self.set_header("Content-Type", "application/json")
         self.finish(orjson.dumps(value, option=orjson.OPT_APPEND_NEWLINE))
 
     def fault(self, status: int, message: str) -> HTTPError:
-        """Return an error to raise; the message names the remedy."""
-        # Passed as an argument, since tornado would read a `%` in it as a format.
+        """Return an error to raise; the message says how to correct the request."""
+        # Passed as an argument, since Tornado would treat a `%` in it as a format.
         return HTTPError(status, "%s", message, reason=None)
 
     def read_number(self, name: str, default: int, low: int, high: int) -> int:
-        """Return a whole number from the query."""
+        """Return an integer from the query."""
         text = self.get_query_argument(name, str(default))
         if not (text.isascii() and text.isdigit() and low <= int(text) <= high):
             raise self.fault(400, f"{name} must be {low} to {high}; change it.")
         return int(text)
 
     def write_error(self, status_code: int, **options: Any) -> None:
-        """Send an error as JSON, a known one with its own status and text."""
+        """Send an error as JSON; known errors have their own status and message."""
         error = options.get("exc_info", (None, None))[1]
         if isinstance(error, MustardquayError):
             status_code = next(
@@ -80,11 +80,11 @@
         )
 
     def add_details(self, error: BaseException | None) -> dict[str, Any]:
-        """Return more fields for the body of an error."""
+        """Return additional fields for the body of an error."""
         return {}
 
     def log_exception(self, kind: Any, error: Any, traceback: Any) -> None:
-        """Log only what is a fault of this program, with its traceback."""
+        """Log a traceback only for unexpected exceptions."""
         if isinstance(error, HTTPError | MustardquayError):
             logger.info("Admin request refused: %s", error)
         else:
@@ -99,27 +99,27 @@
             return f"{self.request.method} is not possible here; see the docs."
         if status == 400:
             return "The request is malformed; see the docs."
-        return "An internal fault; see this process's log."
+        return "An internal error occurred; see this process's log."
 
 
 class AdminHandler(BaseHandler):
-    """Lets in operators only."""
+    """Requires an operator's key."""
 
     def initialize(self, digests: tuple[bytes, ...]) -> None:
-        """Take the digests of the operators' keys."""
+        """Set the digests of the operators' keys."""
         self._digests = digests
 
     @property
     def operator(self) -> str:
-        """Return a name for the operator's key that does not give it away."""
+        """Return an identifier of the operator's key that does not reveal it."""
         return f"key-{self._given.hex()[:8]}"
 
     def prepare(self) -> None:
         """Refuse a request without an operator's key."""
         scheme, _, key = self.request.headers.get("Authorization", "").partition(" ")
         self._given = sha256(key.strip().encode()).digest()
-        # Every digest is compared, in constant time, so that the time taken shows
-        # neither how much of a key is right nor which key it is.
+        # Every digest is compared, each in constant time, so that the duration reveals
+        # neither how much of a key is correct nor which key matched.
         matches = [hmac.compare_digest(self._given, digest) for digest in self._digests]
         if scheme.lower() != "bearer" or not any(matches):
             self.set_header("WWW-Authenticate", "Bearer")
@@ -129,14 +129,14 @@
 
 
 class FallbackHandler(BaseHandler):
-    """Answers for paths that there are not."""
+    """Responds to requests for unknown paths."""
 
     def initialize(self, has_editors: bool) -> None:
-        """Take whether this process can edit the configuration."""
+        """Set whether this process can edit the configuration."""
         self._has_editors = has_editors
 
     def prepare(self) -> None:
-        """Refuse; name the kind of process that has the path."""
+        """Refuse the request; on an agent, refer to entries for their paths."""
         if self.request.path.startswith("/admin/") and not self._has_editors:
             raise self.fault(421, "An agent has no such path; ask an entry.")
         raise self.fault(404, f"There is no {self.request.path}; see the docs.")
--- a/packages/mustardquay-node/src/mustardquay_node/listeners.py
+++ b/packages/mustardquay-node/src/mustardquay_node/listeners.py
@@ -1,4 +1,4 @@
-"""Listeners: an agent's end of the links that entries open to it."""
+"""Listeners: accept the links that entries open to an agent."""
 
 import asyncio
 from collections import OrderedDict
@@ -15,9 +15,9 @@
 __all__ = ["Listener", "get_owner"]
 
 OWNERS = 10_000
-"""Entry processes of which the newest link's number is kept."""
+"""Number of entry processes for which the newest link's number is kept."""
 
-Receiver: TypeAlias = Callable[[Link, Message], None]
+MessageCallback: TypeAlias = Callable[[Link, Message], None]
 
 
 def get_owner(link: Link) -> Owner:
@@ -26,22 +26,22 @@
 
 
 class Listener:
-    """Accepts links, and keeps one of each entry process: the newest."""
+    """Accepts links and keeps the newest one of each entry process."""
 
     def __init__(
         self,
         parts: NodeParts,
         port: int,
         make_heartbeat: Callable[[], Heartbeat],
-        received: Receiver,
-        lost: Callable[[Link], None],
+        on_message: MessageCallback,
+        on_lost: Callable[[Link], None],
     ):
-        """Take the parts; `lost` hears of each link that was open and is lost."""
+        """Set the dependencies; `on_lost` is called with each lost link."""
         self._parts = parts
         self._port = port
         self._make_heartbeat = make_heartbeat
-        self._received = received
-        self._lost = lost
+        self._on_message = on_message
+        self._on_lost = on_lost
         self._links: dict[Link, int] = {}
         self._newest: OrderedDict[Owner, int] = OrderedDict()
         self._server: asyncio.Server | None = None
@@ -54,25 +54,25 @@
 
     @property
     def port(self) -> int:
-        """Return the port; the real one after `start`."""
+        """Return the port; after `start`, the one that was bound."""
         if self._server is None:
             return self._port
         return self._server.sockets[0].getsockname()[1]
 
     async def start(self) -> None:
-        """Begin to listen; raises `OSError` when the port is taken."""
+        """Start listening; raises `OSError` if the port is in use."""
         address = self._parts.settings.node.address
         loop = asyncio.get_running_loop()
         self._server = await loop.create_server(self._make_link, address, self._port)
 
     async def close(self) -> None:
-        """Stop listening, and end the links once all that was sent has arrived."""
+        """Stop listening and close the links once all sent data has been delivered."""
         if self._server is not None:
             self._server.close()
         await asyncio.gather(*(link.finish() for link in self))
 
     def beat(self) -> None:
-        """Send a heartbeat on every link now."""
+        """Send a heartbeat on every link at once."""
         for link in self:
             link.beat()
 
@@ -90,7 +90,7 @@
             parts.events.clock,
             self._make_link_heartbeat,
             self._note_open,
-            self._received,
+            self._on_message,
             self._note_lost,
         )
 
@@ -103,9 +103,9 @@
     def _note_open(self, link: Link) -> None:
         owner = get_owner(link)
         if link.peer.link <= self._newest.get(owner, 0):
-            # A link that was dialled before the present one, and opened only now,
-            # because this process was paused. Its frames must not be run: the
-            # entry may have been told by the newer link that they never came.
+            # This link was dialled before the current one but opened only now, because
+            # this process was paused. Its attempts must not be run: the entry may have
+            # been notified over the newer link that they were never received.
             link.close("a newer link of the same entry is open")
             return
         self._note_newest(owner, link.peer.link)
@@ -125,4 +125,4 @@
         if self._links.pop(link, None) is None:
             return
         self._parts.events.record("link.lost", peer=link.peer.process, reason=reason)
-        self._lost(link)
+        self._on_lost(link)
--- a/packages/mustardquay-node/src/mustardquay_node/loops.py
+++ b/packages/mustardquay-node/src/mustardquay_node/loops.py
@@ -1,4 +1,4 @@
-"""Loops: work that a process repeats for as long as it runs."""
+"""Loops: periodic background tasks of a process."""
 
 import asyncio
 import logging
@@ -16,12 +16,12 @@
     interval: timedelta,
     random: Random | None = None,
 ) -> "asyncio.Task[None]":
-    """Repeat `step` with `interval` between; cancel the task to end it.
+    """Call `step` repeatedly, with `interval` in between, until the task is cancelled.
 
-    With `random` the interval varies by a quarter, so that processes which began
-    together don't call the platform together. An unexpected exception is logged
-    and the loop goes on: a loop that ended unseen would leave a process that looks
-    well and follows nothing any more.
+    With `random` the interval varies by a quarter, so that processes which started
+    together don't call the platform at the same time. An unexpected exception is
+    logged and the loop continues: if it ended unnoticed, the process would seem
+    healthy but would no longer be updated.
     """
     return asyncio.create_task(_repeat(step, interval, random))
 
@@ -37,6 +37,6 @@
             if result is not None:
                 await result
         except Exception:
-            logger.exception("%s failed and is tried again", step.__qualname__)
+            logger.exception("%s failed and will be retried", step.__qualname__)
         spread = 1.0 if random is None else 0.75 + random.random() / 2
         await asyncio.sleep((interval * spread).total_seconds())
--- a/packages/mustardquay-node/src/mustardquay_node/metrics.py
+++ b/packages/mustardquay-node/src/mustardquay_node/metrics.py
@@ -1,9 +1,9 @@
-"""Metrics: what one process counts and measures, for its `/metrics` endpoint.
+"""Metrics: counters, gauges and histograms of one process's `/metrics` endpoint.
 
-Names follow the semantic conventions of OpenTelemetry for generative AI where they
-fit; the others start with `mustardquay`. Customers are no attribute: there are too
-many for a time series each, and the time line answers by customer. Several nodes in
-one Python process each have their own registry.
+Names follow the OpenTelemetry semantic conventions for generative AI where these
+apply; the others start with `mustardquay`. The customer is not an attribute: there are
+too many customers for one time series each, and the timeline of events can be filtered
+by customer. Several nodes in one Python process each have their own registry.
 """
 
 from collections import Counter
@@ -28,7 +28,7 @@
     "mustardquay.ready": ("1", "1 while the process takes new work, else 0."),
     "mustardquay.links": ("{link}", "Links to other processes that are up."),
 }
-"""Gauges that a process may watch: unit and meaning by name."""
+"""Gauges that a process may export: unit and description by name."""
 
 _DURATIONS = tuple(0.01 * 2**power for power in range(14))
 _FIRST_TOKENS = (0.01, 0.02, 0.05, 0.1, 0.2, 0.3, 0.5, 0.8, 1.2, 2, 5, 10, 30)
@@ -41,7 +41,8 @@
 
     def __init__(self, process: str, kind: str, availability_zone: str):
         self._outcomes: Counter[tuple[str, str]] = Counter()
-        # All reasons are there from the start, so that rates need no first event.
+        # All reasons are exported from the start: otherwise the first refusal would
+        # not show in a rate.
         self._refusals = Counter({(reason.value,): 0 for reason in Reason})
         self._retries: Counter[tuple[str]] = Counter()
         self._gauges: dict[str, Callable[[], float]] = {}
@@ -49,20 +50,20 @@
         self._page = MetricPage(process, kind, availability_zone, self._histograms)
 
     def start(self) -> None:
-        """Begin to export; gauges may be watched before and after."""
+        """Start exporting; gauges may be added before and after."""
         self._page.start()
         self._make_counters()
         for name in self._gauges:
             self._page.add_gauge(name, GAUGES[name], self._gauges)
 
     def close(self) -> None:
-        """Stop to export."""
+        """Stop exporting."""
         self._page.close()
 
     def watch(self, name: str, read: Callable[[], float]) -> None:
-        """Export a gauge of `GAUGES`, read anew at each scrape."""
+        """Export a gauge of `GAUGES`; `read` is called at each scrape."""
         if name not in GAUGES:
-            raise ValueError(f"{name} is no gauge; add it to GAUGES first.")
+            raise ValueError(f"{name} is not a known gauge; add it to GAUGES first.")
         new = name not in self._gauges
         self._gauges[name] = read
         if new and self._page.is_started:
@@ -71,17 +72,17 @@
     def record_request(
         self, operation: str, model: str, outcome: Outcome, duration: timedelta
     ) -> None:
-        """Count the end of a request.
+        """Record the outcome and duration of a request.
 
-        `operation` is `chat`, `text_completion` or `service`; `model` must have
-        been checked against the contract, so that callers can't invent names.
+        `operation` is `chat`, `text_completion` or `service`. `model` must have been
+        validated against the contract, so that callers can't create arbitrary series.
         """
         self._outcomes[operation, outcome.value] += 1
         error = "" if outcome is Outcome.ANSWERED else outcome.value
         self._duration.record(duration.total_seconds(), operation, model, error)
 
     def record_first_token(self, operation: str, model: str, delay: timedelta) -> None:
-        """Count the time from a request's arrival to its first token."""
+        """Record the time from a request's arrival to its first token."""
         self._first_token.record(delay.total_seconds(), operation, model)
 
     def record_tokens(
@@ -92,7 +93,7 @@
         output_tokens: int,
         generation: timedelta | None = None,
     ) -> None:
-        """Count the tokens of a request, once at its end.
+        """Record the tokens of a request; called once, at its end.
 
         `generation` is the time from the first token to the last, for streams.
         """
@@ -103,15 +104,15 @@
             self._gap.record(gap, operation, model)
 
     def count_refusal(self, reason: Reason) -> None:
-        """Count work that was refused here."""
+        """Count a refusal by this process."""
         self._refusals[(reason.value,)] += 1
 
     def count_retry(self, cause: str) -> None:
-        """Count an attempt that follows one that failed; `cause` is a short name."""
+        """Count a retry after a failed attempt; `cause` is a short identifier."""
         self._retries[(cause,)] += 1
 
     def render(self) -> bytes:
-        """Return the page for Prometheus."""
+        """Return the metrics in the Prometheus format."""
         return self._page.render()
 
     def _make_histograms(self) -> None:
--- a/packages/mustardquay-node/src/mustardquay_node/node_settings.py
+++ b/packages/mustardquay-node/src/mustardquay_node/node_settings.py
@@ -1,6 +1,6 @@
 """Node settings: the sections that entries and agents read.
 
-Apart from those of gateways, which start sooner without them.
+They are separate from the sections of gateways, which start faster without them.
 """
 
 from typing import Annotated, Literal
@@ -28,7 +28,7 @@
 
 
 class PlatformSettings(Section):
-    """Section `platform`: where the platform's services are."""
+    """Section `platform`: addresses of the platform's services."""
 
     tables: URL
     objects: URL
@@ -40,14 +40,14 @@
     """Section `link`: the links between entries and agents."""
 
     keys: SomeWords
-    """Shared secrets; the first signs, all are accepted, so that they rotate."""
+    """Shared secrets; the first one signs and all are accepted, to allow rotation."""
     heartbeat: Duration
     silence: Duration
     frame_limit: Count
 
 
 class EntrySettings(Section):
-    """Section `entry`: towards callers."""
+    """Section `entry`: the caller side of an entry."""
 
     port: Port
     operator_keys: SomeWords
@@ -68,18 +68,18 @@
 
 
 class AgentSettings(Section):
-    """Section `agent`: towards the upstream beside this process."""
+    """Section `agent`: the upstream side of an agent."""
 
     port: Port
     operator_keys: Words = ()
     kind: Literal["engine", "service"]
     upstream: URL
-    """Base URL of the engine or plain service, with an IP number."""
+    """Base URL of the engine or plain service, with an IP address."""
     upstream_name: Name
     service: Annotated[str, StringConstraints(pattern=r"^[A-Za-z0-9._-]{0,63}$")] = ""
-    """Name under which a plain service is called."""
+    """Name by which callers address a plain service."""
     fencing: bool
-    """Whether the engine refuses an order with an old fencing number."""
+    """Whether the engine refuses orders with an outdated fencing number."""
     concurrency: Count
     queue_capacity: Count
     progress_timeout: Duration
@@ -99,7 +99,7 @@
 
 
 class Settings(Section):
-    """All the settings of one process."""
+    """All settings of one process."""
 
     node: NodeSettings
     platform: PlatformSettings
--- a/packages/mustardquay-node/src/mustardquay_node/nodes.py
+++ b/packages/mustardquay-node/src/mustardquay_node/nodes.py
@@ -1,4 +1,4 @@
-"""Nodes: what entries and agents have in common: platform, configuration, links."""
+"""Nodes: common base of entries and agents: platform, configuration and links."""
 
 from collections.abc import Callable, Mapping
 from datetime import timedelta
@@ -34,8 +34,8 @@
 ]
 
 ENTRY_PROBE_WAIT = timedelta(seconds=2)
-"""Longest wait of an entry between probes of a service of the platform that is
-down: 540 entries then send it at most some 400 probes a second."""
+"""Maximum interval between an entry's probes of a platform service that is down; 540
+entries then send at most some 400 probes a second."""
 
 
 class Platform:
@@ -44,9 +44,9 @@
     def __init__(self, settings: Settings, clock: Clock, random: Random):
         platform = settings.platform
 
-        # Calls that may run once wait for an entry's probe after an outage, for no
-        # longer than their callers tolerate. There are few entries, so that they
-        # may probe often; the many agents keep to the longer waits.
+        # After an outage, calls that may run only once wait until an entry's probe
+        # succeeds, and that must not take longer than their callers tolerate. There are
+        # few entries, so they may probe often. The many agents use longer intervals.
         is_entry = settings.node.kind == "entry"
         waits = {"longest_wait": ENTRY_PROBE_WAIT} if is_entry else {}
 
@@ -64,12 +64,12 @@
         self.instances = HttpInstances(self._clients[2])
 
     async def start(self) -> None:
-        """Make the HTTP clients."""
+        """Create the HTTP clients."""
         for client in self._clients:
             await client.start()
 
     async def close(self) -> None:
-        """Abandon the calls under way."""
+        """Abort the calls in progress."""
         for client in self._clients:
             await client.close()
 
@@ -88,8 +88,8 @@
         self.settings = settings
         self.clock = clock or SystemClock()
         self.random = Random(make_seed() if seed is None else seed)
-        # Later processes of the same name have higher numbers, as long as the wall
-        # clock is not set back by more than the time they take to start.
+        # Later processes with the same name get higher numbers, unless the wall clock
+        # is set back by more than a process takes to start.
         started = self.clock.now().timestamp()
         self.incarnation = int(started * 1_000_000)
         self.identity = Identity(node.name, self.incarnation, node.availability_zone)
@@ -108,7 +108,7 @@
 
 
 class Node:
-    """What an entry and an agent have in common: a name, a version, readiness."""
+    """Base class of entries and agents: name, configuration version and readiness."""
 
     def __init__(
         self,
@@ -118,7 +118,7 @@
         write_event: Callable[[Event], None] | None,
         is_reader: Callable[[], bool],
     ):
-        """Take the settings; `is_reader` says whether it polls the log's head."""
+        """Set up the process; `is_reader` returns whether it polls the head row."""
         parts = NodeParts(settings, clock, seed, write_event)
         self._parts = parts
         self._keeper = ConfigurationKeeper(
@@ -137,25 +137,25 @@
 
     @property
     def version(self) -> int:
-        """Return the configuration version in force here."""
+        """Return the configuration version in force in this process."""
         return self._keeper.version
 
     @property
     def events(self) -> EventRing:
-        """Return the ring of this process's events."""
+        """Return the ring buffer of this process's events."""
         return self._parts.events
 
     @property
     def is_ready(self) -> bool:
-        """Return whether new work may be sent here."""
+        """Return whether this process may get new work."""
         return not self.list_faults()
 
     def list_faults(self) -> tuple[str, ...]:
-        """Return why the process takes no new work, one sentence each."""
+        """Return the reasons why this process is not ready, one sentence each."""
         raise NotImplementedError
 
     def _watch(self, gauges: Mapping[str, Callable[[], float]]) -> None:
-        """Export gauges by the last part of their names, with those of every node."""
+        """Export gauges, named without their prefix, and those common to all nodes."""
         common = {
             "configuration.version": lambda: self._keeper.version,
             "ready": lambda: float(self.is_ready),
@@ -169,10 +169,10 @@
 
 
 def spread_configuration(keeper: ConfigurationKeeper, link: Link, message: Message):
-    """Take in and pass on the configuration log over a link.
+    """Exchange configuration log entries over a link.
 
-    A heartbeat with a higher version leads to a question for what is missing, and
-    an answer that closes only a part of the gap to the next question.
+    A heartbeat with a higher version triggers a request for the missing entries. If
+    the answer contains only part of them, the next part is requested.
     """
     if isinstance(message, Heartbeat):
         keeper.hear(link.peer.process, message.version, message.confirmed)
@@ -194,7 +194,7 @@
 def connect_configuration(
     keeper: ConfigurationKeeper, changed: Callable[[], None]
 ) -> Callable[[], None]:
-    """Call back on each new version; returns what ends that."""
+    """Call `changed` on each new version; return a function that unsubscribes."""
 
     def receive(sender: ConfigurationKeeper, **details: object) -> None:
         changed()
--- a/packages/mustardquay-node/src/mustardquay_node/orphans.py
+++ b/packages/mustardquay-node/src/mustardquay_node/orphans.py
@@ -1,10 +1,10 @@
-"""Orphans: non-repeatable work that ended at an agent while its entry was away.
+"""Orphans: non-repeatable runs that ended while their entry had no link to the agent.
 
-Guards against the death of an entry: its caller repeats the call at another one,
-which follows the row of the claim and would never see an end there, although the
-work was done. The agent, which has the answer, records it. Only answers are: a
-refusal must not free the key from here, since the entry may live after all and
-send the work to another upstream under the same claim.
+If an entry fails, its caller repeats the call at another entry, which polls the row of
+the claim and would never find an answer there, although the work was done. Therefore
+the agent, which has the answer, records it. Only answers are recorded: an agent must
+not release the key after a refusal, since the entry may still be running and may send
+the work to another upstream under the same claim.
 """
 
 from datetime import timedelta
@@ -25,7 +25,7 @@
 
 
 class OrphanRecorder:
-    """Records the answers of one agent's runs that their entries did not take."""
+    """Records the answers of one agent's runs that their entries did not receive."""
 
     def __init__(
         self,
@@ -35,24 +35,24 @@
         random: Random,
         name: str,
     ):
-        # It makes no claims, so that their lifetime is of no account.
+        # This recorder creates no claims, so the claim lifetime is not used.
         self._recorder = Recorder(
             tables, objects, clock, random, name, timedelta(), WINDOW
         )
 
     def start(self) -> None:
-        """Begin to write."""
+        """Start writing."""
         self._recorder.start()
 
     async def close(self) -> None:
-        """Write what waits, as far as the store takes it, and stop."""
+        """Write the pending answers, as far as the store accepts them, and stop."""
         await self._recorder.close()
 
     def record(self, run: Run) -> None:
-        """Record the answer of a run that has ended; does nothing without one.
+        """Record the answer of a run that has ended, if it has one.
 
-        An entry that lives may record the same: the second write finds that the
-        row has its answer.
+        An entry that is still running may record the same answer; the second write
+        then finds the answer in the row.
         """
         answer = run.build_answer()
         if run.attempt.claim and answer is not None:
--- a/packages/mustardquay-node/src/mustardquay_node/reconcilers.py
+++ b/packages/mustardquay-node/src/mustardquay_node/reconcilers.py
@@ -1,7 +1,7 @@
-"""Reconcilers: bring the upstream beside an agent to its desired state.
+"""Reconcilers: bring an agent's upstream to its desired state.
 
-The decisions are those of `OrderStateMachine`; here they meet the table service and the
-engine. The upstream gets requests only while `ready` is true.
+`OrderStateMachine` decides on each step; this module executes it on the table service
+and the engine. The upstream gets requests only while `ready` is true.
 """
 
 import asyncio
@@ -41,18 +41,18 @@
 
 SEND_WINDOW = timedelta(seconds=5)
 POLL_RATE = 100.0
-"""Order rows that all the agents together read in a second."""
+"""Order rows that all agents together read per second."""
 SHORTEST_POLL = timedelta(seconds=2)
 STEPS = 4
-"""Steps of the machine in one turn: claim, reread and send, with one to spare."""
+"""Maximum steps in one run: claim, reread, send and one in reserve."""
 
 
 class Reconciler:
-    """Keeps one upstream at its order row.
+    """Keeps one upstream in the state of its order row.
 
-    `agent` must be unique for each start of a process. `is_idle` says whether no
-    request runs on the upstream, and `count_agents` how many agents there are, so
-    that their polling together stays within a rate.
+    `agent` must be unique for each start of a process. `is_idle` returns whether no
+    request runs on the upstream. `count_agents` returns the number of agents, which
+    limits the polling rate of all agents together.
     """
 
     def __init__(
@@ -99,7 +99,7 @@
 
     @property
     def state(self) -> EngineState | None:
-        """Return what the upstream was last seen to be, or None."""
+        """Return the upstream's last observed state, or None."""
         return self._machine.state
 
     @property
@@ -109,33 +109,33 @@
 
     @property
     def incarnation(self) -> int:
-        """Return the number of this agent's claim, 0 while it has none."""
+        """Return the number of this agent's claim, or 0 while it has none."""
         return self._machine.incarnation
 
     @property
     def superseded(self) -> bool:
-        """Return whether another agent has taken the upstream; stop then."""
+        """Return whether another agent has claimed the upstream; this one must stop."""
         return self._machine.superseded
 
     async def start(self) -> None:
-        """Begin to reconcile."""
+        """Start reconciling."""
         await self._engine.start()
         self._task = start_loop(self.turn, self._interval, self._random)
 
     async def close(self) -> None:
-        """Stop; an order under way stays with the engine."""
+        """Stop; the engine completes an order in progress."""
         if self._task is not None:
             self._task.cancel()
             await asyncio.gather(self._task, return_exceptions=True)
             self._task = None
         await self._engine.close()
 
-    def nudge(self) -> None:
-        """Read the order row at the next turn, since it is said to have changed."""
+    def poll_soon(self) -> None:
+        """Read the order row in the next run, after a notice that it has changed."""
         self._poll_at = timedelta.min
 
     async def turn(self) -> None:
-        """Observe the engine and do what is due; never raises store errors."""
+        """Observe the engine and execute the steps due; never raises store errors."""
         await self._observe()
         try:
             await self._poll()
@@ -146,7 +146,7 @@
             await self._report()
         except (StoreUnavailable, StoreResultUnknown) as error:
             self._machine.note_store(False)
-            logger.info("%s: the table service can't be used: %s", self._key, error)
+            logger.info("%s: the table service is unavailable: %s", self._key, error)
         except MustardquayError as error:
             logger.error("%s: %s", self._key, error)
         self._announce()
@@ -164,7 +164,7 @@
         self._machine.note_row(await self._read_row())
 
     async def _take(self, step: Step) -> bool:
-        """Carry out a step; return whether another may follow at once."""
+        """Execute a step; return whether another may follow at once."""
         if step is Step.CLAIM:
             return await self._claim()
         if step is Step.REREAD:
@@ -177,7 +177,7 @@
     async def _claim(self) -> bool:
         row = await self._tables.read(ENGINE_CLAIMS, self._key)
         if row is not None and decode(Claim, row.value).agent == self._agent:
-            # Written by a transaction whose answer was lost.
+            # Written by an earlier transaction whose answer was lost.
             self._machine.claim(row.revision, self._clock.monotonic())
             return True
         revision = 0 if row is None else row.revision
@@ -246,8 +246,8 @@
 
     async def _read_row(self) -> OrderRow | None:
         row = await self._tables.read(ORDERS, self._key)
-        # Only where the store has answered: a turn that asks it nothing, while work
-        # runs, would else take an engine out of service that can't be changed.
+        # Only after the store has answered. A run without a call to the store would
+        # otherwise take an engine out of service while it is busy and can't be changed.
         self._machine.note_store(True)
         return None if row is None else decode(OrderRow, row.value)
 
--- a/packages/mustardquay-node/src/mustardquay_node/reports.py
+++ b/packages/mustardquay-node/src/mustardquay_node/reports.py
@@ -1,4 +1,4 @@
-"""Reports: what the upstream beside an agent says of itself, asked for regularly."""
+"""Reports: periodic polling of the state and load of an agent's upstream."""
 
 import asyncio
 from collections.abc import Callable
@@ -13,7 +13,7 @@
 from mustardquay.works import Role
 
 from .loops import start_loop
-from .upstreams import CallEnd, UpstreamCall, UpstreamClient
+from .upstreams import CallResult, UpstreamCall, UpstreamClient
 
 __all__ = ["Reporter", "UpstreamReport"]
 
@@ -22,7 +22,7 @@
 
 @dataclass(frozen=True, slots=True)
 class UpstreamReport:
-    """The last that the upstream said of itself."""
+    """The state and load that the upstream last reported."""
 
     reachable: bool = False
     boot: str = ""
@@ -36,10 +36,10 @@
     prefill_rate: float = 0.0
     decode_rate: float = 0.0
     cache_events: CacheEvents | None = None
-    """The events since the report before; None when there are none."""
+    """The events since the previous report, or None if there are none."""
 
     def without_load(self) -> "UpstreamReport":
-        """Return the report without what changes all the time."""
+        """Return the report without the fields that change continuously."""
         return replace(
             self,
             queued_tokens=0,
@@ -51,20 +51,20 @@
 
 
 class Reporter:
-    """Asks one upstream for its state and load."""
+    """Polls one upstream for its state and load."""
 
     def __init__(
         self,
         url: str,
         kind: Literal["engine", "service"],
         interval: timedelta,
-        changed: Callable[[UpstreamReport, UpstreamReport], None],
+        on_report: Callable[[UpstreamReport, UpstreamReport], None],
     ):
-        """`changed` hears of the earlier and the present report after each try."""
+        """Call `on_report` with the previous and the new report after each poll."""
         self._client = UpstreamClient(url)
         self._kind = kind
         self._interval = interval
-        self._changed = changed
+        self._on_report = on_report
         self._report = UpstreamReport()
         self._task: asyncio.Task[None] | None = None
         self._probing: asyncio.Future[str] | None = None
@@ -77,30 +77,30 @@
         return self._report
 
     def start(self) -> None:
-        """Begin to ask."""
+        """Start polling."""
         self._task = start_loop(self.ask, self._interval)
 
     async def close(self) -> None:
-        """Ask no more."""
+        """Stop polling."""
         if self._task is not None:
             self._task.cancel()
             await asyncio.gather(self._task, return_exceptions=True)
         self._client.close()
 
     def probe(self) -> "asyncio.Future[str]":
-        """Ask over a new connection for the boot, "" when there is no answer.
+        """Request the boot over a new connection; "" if there is no answer.
 
-        Calls that broke together share one probe.
+        Calls that failed at the same time share one probe.
         """
         if self._probing is None or self._probing.done():
             self._probing = asyncio.ensure_future(self._ask_boot())
         return self._probing
 
     async def ask(self) -> None:
-        """Ask now, over a new connection."""
+        """Poll now, over a new connection."""
         before = self._report
         self._report = await self._read_report()
-        self._changed(before, self._report)
+        self._on_report(before, self._report)
 
     async def _ask_boot(self) -> str:
         await self.ask()
@@ -150,13 +150,13 @@
         )
         try:
             async with asyncio.timeout(TIMEOUT.total_seconds()):
-                # A new connection, since a kept one that was forgotten on its way
-                # would make a healthy upstream look dead.
+                # A new connection, since a kept one whose state was dropped by a
+                # device in between would make a healthy upstream seem to be down.
                 end = await self._client.run(call, fresh=True)
         except TimeoutError:
             call.cancel()
             return None
-        if end is not CallEnd.WHOLE or statuses[-1] != 200:
+        if end is not CallResult.COMPLETE or statuses[-1] != 200:
             return None
         try:
             answer = orjson.loads(b"".join(parts))
--- a/packages/mustardquay-node/src/mustardquay_node/runs.py
+++ b/packages/mustardquay-node/src/mustardquay_node/runs.py
@@ -1,9 +1,9 @@
-"""Runs: what an agent remembers of the attempts it was sent.
+"""Runs: the attempts that an agent has received, with their frames.
 
-Every frame that an attempt has produced is kept until some time after its end, so
-that an entry which lost its link can ask for the rest over a new one. An attempt
-that is no longer known is told apart from one that never came by the highest
-stream number forgotten: numbers rise with each attempt of an entry process.
+All frames of an attempt are kept until some time after its end, so that an entry that
+lost its link can request the remaining ones over a new link. An attempt that was
+removed is distinguished from one that was never received by the highest stream number
+removed, since each attempt of an entry process has a higher number.
 """
 
 import asyncio
@@ -30,21 +30,21 @@
 
 from .links import Link
 
-__all__ = ["Owner", "Run", "RunTable", "make_unseen", "make_work"]
+__all__ = ["Owner", "Run", "RunTable", "make_unreceived", "make_work"]
 
 Owner = tuple[str, int]
 """Name and incarnation of an entry process."""
 
 WINDOW = 256 * 1024
-"""Bytes of answer that may be on their way to a caller that reads slowly."""
+"""Bytes of an answer that may be in transit to a slow caller."""
 RETENTION = timedelta(seconds=60)
-"""How long an ended run is kept; entries come back for it within seconds."""
+"""Time for which an ended run is kept; entries reconnect within seconds."""
 OWNERS = 10_000
-"""Entry processes of which the highest forgotten stream is kept."""
+"""Number of entry processes for which the highest removed stream is kept."""
 
 
 class Run:
-    """One attempt at its agent, with all the frames it has produced."""
+    """One attempt at its agent, with all frames that it has produced."""
 
     def __init__(self, owner: Owner, attempt: Attempt, work: Work, link: Link | None):
         self.owner = owner
@@ -56,43 +56,43 @@
         self.cancelled = False
         self.ended_at: timedelta | None = None
         self.progress_at = timedelta()
-        """Monotonic instant of the last sign of life from the upstream."""
+        """Monotonic time at which the upstream last sent something."""
         self._frames: list[AttemptFrame] = []
         self._credit = WINDOW
         self._credit_given = asyncio.Event()
 
     @property
     def key(self) -> tuple[Owner, int]:
-        """Return what names the run at this agent."""
+        """Return the key that identifies the run at this agent."""
         return (self.owner, self.attempt.stream)
 
     @property
     def ended(self) -> bool:
-        """Return whether the last frame was produced."""
+        """Return whether the last frame has been produced."""
         return self.ended_at is not None
 
     def start(self, now: timedelta) -> None:
-        """Note that the attempt goes to the upstream."""
+        """Record that the attempt is sent to the upstream."""
         self.started = True
         self.progress_at = now
         self._emit(Started(self.attempt.stream, len(self._frames)))
 
     def add_head(self, status: int, headers: tuple[Header, ...]) -> None:
-        """Pass on the head of the answer."""
+        """Send the head of the answer."""
         stream = self.attempt.stream
         self._emit(Head(stream, len(self._frames), status, headers))
 
     def add_chunk(self, data: bytes, tokens: int) -> None:
-        """Pass on a part of the answer, and take its size from the credit."""
+        """Send a chunk of the answer and subtract its size from the credit."""
         self._credit -= len(data)
         self._emit(Chunk(self.attempt.stream, len(self._frames), tokens, data))
 
-    def end_whole(self, now: timedelta) -> None:
-        """End with a whole answer."""
+    def end_complete(self, now: timedelta) -> None:
+        """End with a complete answer."""
         self._end(Done(self.attempt.stream, len(self._frames)), now)
 
     def end_refused(self, refusal: Refusal, now: timedelta) -> None:
-        """End an attempt that was never started; the record is its tombstone."""
+        """End an attempt that was never started; the run serves as its tombstone."""
         self._end(
             Refused(
                 self.attempt.stream,
@@ -110,7 +110,7 @@
         self._end(Failed(stream, len(self._frames), kind, message), now)
 
     def build_answer(self) -> RecordedAnswer | None:
-        """Return the whole answer, or None when there is none."""
+        """Return the complete answer, or None if there is none."""
         if not self._frames or not isinstance(self._frames[-1], Done):
             return None
         heads = [frame for frame in self._frames if isinstance(frame, Head)]
@@ -118,26 +118,26 @@
         return RecordedAnswer(heads[0].status, heads[0].headers, b"".join(parts))
 
     def reattach(self, link: Link, have: int) -> None:
-        """Send what comes behind the first `have` frames over a new link."""
+        """Send the frames after the first `have` ones over a new link."""
         self.link = link
         for frame in self._frames[have:]:
             link.send(frame)
 
     def give_credit(self, size: int) -> None:
-        """Note that the caller has taken `size` bytes."""
+        """Add credit for `size` bytes that the caller has read."""
         self._credit += size
         if self._credit > 0:
             self._credit_given.set()
 
     async def wait_for_credit(self) -> None:
-        """Wait while too much of the answer is on its way to the caller."""
+        """Wait while too much of the answer is in transit to the caller."""
         while self._credit <= 0 and not self.cancelled:
             self._credit_given.clear()
             await self._credit_given.wait()
 
     @property
-    def is_held_back(self) -> bool:
-        """Return whether the caller, not the upstream, is what holds it up."""
+    def waits_for_caller(self) -> bool:
+        """Return whether the run waits for the caller rather than for the upstream."""
         return self._credit <= 0
 
     def _end(self, frame: AttemptFrame, now: timedelta) -> None:
@@ -153,7 +153,7 @@
 
 
 class RunTable:
-    """The runs of one agent, those that go on and those that ended lately."""
+    """The runs of one agent: those in progress and those that ended recently."""
 
     def __init__(self) -> None:
         self._runs: dict[tuple[Owner, int], Run] = {}
@@ -168,28 +168,29 @@
         return len(self._runs)
 
     def add(self, run: Run) -> None:
-        """Keep a run that goes on."""
+        """Add a run in progress."""
         self._runs[run.key] = run
 
     def find(self, key: tuple[Owner, int]) -> Run | None:
-        """Return the run, whether it goes on or has ended."""
+        """Return the run, whether it is in progress or has ended."""
         return self._runs.get(key) or self._ended.get(key)
 
     def list_ended(self) -> list[Run]:
-        """Return the runs that ended lately, the oldest first."""
+        """Return the runs that ended recently, oldest first."""
         return list(self._ended.values())
 
     def note_end(self, run: Run) -> None:
-        """Move a run that has ended among those that are kept for a while."""
+        """Move a run from those in progress to those that ended recently."""
         self._runs.pop(run.key, None)
         self._ended[run.key] = run
 
     def may_be_forgotten(self, key: tuple[Owner, int]) -> bool:
         """Return whether an attempt that is not found may have been run.
 
-        An entry that was paused for long asks after the record is gone. To take
-        that for "never came" would make a false "not run"; the highest number
-        forgotten is kept for each entry process and tells the two apart.
+        An entry that was paused for a long time may reattach after the run was
+        removed. To treat that attempt as never received would wrongly report that it
+        did not run. The highest stream number removed, which is kept for each entry
+        process, distinguishes the two cases.
         """
         owner, stream = key
         if owner in self._forgotten:
@@ -197,7 +198,7 @@
         return self._owners_forgotten
 
     def forget(self, now: timedelta) -> None:
-        """Drop the runs that ended longer ago than `RETENTION`."""
+        """Remove the runs that ended longer ago than `RETENTION`."""
         while self._ended:
             key, run = next(iter(self._ended.items()))
             assert run.ended_at is not None
@@ -216,7 +217,7 @@
 
 
 def make_work(attempt: Attempt, now: timedelta) -> Work:
-    """Return the attempt as the decisions see it, with instants of this process."""
+    """Return the queue's view of an attempt, with times of this process's clock."""
     return Work(
         request=attempt.request,
         attempt=attempt.number,
@@ -237,8 +238,8 @@
     )
 
 
-def make_unseen(owner: Owner, reattach: Reattach, link: Link) -> Run:
-    """Return a run in the place of an attempt that never came."""
+def make_unreceived(owner: Owner, reattach: Reattach, link: Link) -> Run:
+    """Return a run that stands for an attempt that was never received."""
     work = Work(reattach.request, reattach.number, "", "")
     attempt = Attempt(
         stream=reattach.stream,
--- a/packages/mustardquay-node/src/mustardquay_node/statuses.py
+++ b/packages/mustardquay-node/src/mustardquay_node/statuses.py
@@ -1,4 +1,4 @@
-"""Statuses: what a process says of itself on its admin port."""
+"""Statuses: the status and probes that a process reports on its admin port."""
 
 from collections.abc import Mapping
 from dataclasses import asdict, dataclass, field
@@ -11,16 +11,16 @@
 
 @dataclass(frozen=True, slots=True)
 class Probe:
-    """An answer of `/healthz` or `/readyz`, with what is wrong."""
+    """The result of `/healthz` or `/readyz`."""
 
     good: bool
     faults: tuple[str, ...] = ()
-    """What is wrong, one sentence each, for people."""
+    """Problems found, one sentence each, for operators."""
 
 
 @dataclass(frozen=True, slots=True)
 class UpstreamStatus:
-    """One upstream as this process sees it, with the age of that view."""
+    """One upstream as last reported to this process, with the age of that report."""
 
     name: str
     availability_zone: str
@@ -35,7 +35,7 @@
 
     @classmethod
     def from_view(cls, view: UpstreamView, age: float) -> "UpstreamStatus":
-        """Return the status of a view whose report is `age` seconds old."""
+        """Return the status of an upstream whose report is `age` seconds old."""
         return cls(
             name=view.name,
             availability_zone=view.availability_zone,
@@ -50,31 +50,31 @@
 
 @dataclass(frozen=True, slots=True)
 class ProcessStatus:
-    """One process: what it is, what is in force, what it has to do."""
+    """Identity, configuration version, readiness and load of one process."""
 
     process: str
     kind: str
     availability_zone: str
     region: str
     version: str
-    """Of the program."""
+    """Version of the program."""
     configuration: int
-    """Version of the configuration log that is in force here."""
+    """Configuration version in force in this process."""
     ready: bool
     draining: bool
     faults: tuple[str, ...] = ()
-    """Why it is not ready, one sentence each."""
+    """Reasons why it is not ready, one sentence each."""
     incarnation: int = 0
-    """Of an agent: the fencing number under which it claimed its engine."""
+    """For an agent, the fencing number of the claim on its engine."""
     waiting: int = 0
     running: int = 0
     upstreams: tuple[UpstreamStatus, ...] = ()
     peers: Mapping[str, int] = field(default_factory=dict)
-    """Configuration versions of the processes at the other ends of its links."""
+    """Configuration versions of the linked processes."""
 
 
 def describe_status(status: ProcessStatus) -> dict[str, Any]:
-    """Return the fields of a status for JSON."""
+    """Return the fields of a status as JSON values."""
     return asdict(status) | {"peers": dict(status.peers)}
 
 
--- a/packages/mustardquay-node/src/mustardquay_node/stores.py
+++ b/packages/mustardquay-node/src/mustardquay_node/stores.py
@@ -1,9 +1,9 @@
-"""Stores: HTTP clients of the platform's services, as docs/PLATFORM.md has them.
+"""Stores: HTTP clients of the platform's services, which docs/PLATFORM.md describes.
 
-Every call has a deadline that counts its retries, waits its turn in a budget and
-goes through a circuit breaker. What surely had no effect is tried again with full
+Every call has a deadline that includes its retries, is rate limited by a budget and
+passes a circuit breaker. Calls that certainly had no effect are retried with full
 jitter. A transaction whose answer was lost raises `StoreResultUnknown` and is never
-repeated here: only the caller knows how to read back.
+retried here, since only the caller can read back whether it was applied.
 """
 
 from dataclasses import dataclass
@@ -41,7 +41,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StoreLimits:
-    """What one process may ask of the table service, in calls a second."""
+    """Rate limits of one process for the table service, in calls per second."""
 
     read_rate: float = 20.0
     read_burst: int = 40
@@ -50,7 +50,7 @@
 
 
 class _Throttled(StoreUnavailable):
-    """The service refused the call for its rate."""
+    """The service refused the call because of its rate limit."""
 
     def __init__(self, message: str, retry_after: timedelta):
         super().__init__(message)
@@ -64,7 +64,7 @@
     body: bytes | None
     is_write: bool
     meter: PauseMeter
-    """Measures from the call's begin how long this process did not run."""
+    """Measures for how long this process did not run since the call began."""
 
 
 class PlatformClient:
@@ -89,15 +89,15 @@
 
     @property
     def is_available(self) -> bool:
-        """Return whether the service answered lately."""
+        """Return whether the service answered recently."""
         return not self._breaker.is_open
 
     async def start(self) -> None:
-        """Make the HTTP client."""
+        """Create the HTTP client."""
         self._client = AsyncHTTPClient(force_instance=True, max_clients=CONNECTIONS)
 
     async def close(self) -> None:
-        """Abandon the calls under way."""
+        """Abort the calls in progress."""
         if self._client is not None:
             self._client.close()
             self._client = None
@@ -110,11 +110,12 @@
         budget: Budget | None = None,
         is_write: bool = False,
     ) -> HTTPResponse:
-        """Return an answer with status 200, 204, 404 or 409.
+        """Return a response with status 200, 204, 404 or 409.
 
         Raises `StoreUnavailable`, `ProtocolError` and, with `is_write`,
-        `StoreResultUnknown`. A pause of this process is not counted: it would wake with
-        all its calls timed out though the service had answered, and read nothing.
+        `StoreResultUnknown`. Time in which this process was paused does not count
+        towards the deadline. Otherwise all its calls would have timed out when it
+        resumes, and answers of the service that have arrived would not be read.
         """
         call = _Call(method, path, body, is_write, PauseMeter())
         try:
@@ -127,7 +128,7 @@
         attempt = 0
         while True:
             deadline = limit + call.meter.lost
-            await self._take_turn(budget, deadline)
+            await self._await_budget(budget, deadline)
             try:
                 return await self._try_once(call, deadline)
             except StoreUnavailable as error:
@@ -139,15 +140,15 @@
             attempt += 1
             await self._sleep(delay)
 
-    async def _take_turn(self, budget: Budget | None, deadline: timedelta) -> None:
+    async def _await_budget(self, budget: Budget | None, deadline: timedelta) -> None:
         if budget is None:
             return
         now = self._clock.monotonic()
         wait = budget.reserve(now, deadline - now)
         if wait > deadline - now:
             raise StoreUnavailable(
-                "This process has used up its budget of calls to the table service; "
-                "try again later."
+                "This process has exceeded its rate limit for calls to the table "
+                "service; try again later."
             )
         if wait:
             await self._sleep(wait)
@@ -156,7 +157,7 @@
         now = self._clock.monotonic()
         if not self._breaker.allow(now):
             raise StoreUnavailable(
-                f"{self._base_url} does not answer; it is probed now and then, try "
+                f"{self._base_url} does not answer; it is probed periodically, try "
                 "again later."
             )
         seconds = max((deadline - now).total_seconds(), 0.001)
@@ -175,11 +176,11 @@
             self._breaker.fail(self._clock.monotonic())
             raise StoreUnavailable(f"{self._base_url} refuses connections.") from error
         except (HTTPError, OSError) as error:
-            # Timed out or cut: the service may have applied what it got. What ends in
-            # a pause of this process tells nothing of the service.
+            # Timed out or disconnected: the service may have applied the call. A
+            # failure during a pause of this process is not one of the service.
             if call.meter.lost == lost:
                 self._breaker.fail(self._clock.monotonic())
-            raise self._lost(call.is_write, str(error)) from error
+            raise self._make_lost_error(call.is_write, str(error)) from error
         return self._check(response, call.is_write)
 
     def _check(self, response: HTTPResponse, is_write: bool) -> HTTPResponse:
@@ -188,24 +189,27 @@
             return response
         if response.code == 429:
             self._breaker.succeed()
-            raise _Throttled(f"{self._base_url} is over its rate.", _parse(response))
+            raise _Throttled(
+                f"{self._base_url} has reached its rate limit.",
+                _parse(response),
+            )
         if response.code == 503:
             self._breaker.fail(self._clock.monotonic())
-            raise StoreUnavailable(f"{self._base_url} is out of service.")
+            raise StoreUnavailable(f"{self._base_url} is unavailable (status 503).")
         if response.code >= 500:
             self._breaker.fail(self._clock.monotonic())
-            raise self._lost(is_write, f"status {response.code}")
+            raise self._make_lost_error(is_write, f"status {response.code}")
         self._breaker.succeed()
         raise ProtocolError(
             f"{self._base_url} answered {response.code}: {response.body[:200]!r}; "
             "check the platform's address and version."
         )
 
-    def _lost(self, is_write: bool, reason: str) -> Exception:
+    def _make_lost_error(self, is_write: bool, reason: str) -> Exception:
         if is_write:
             return StoreResultUnknown(
-                f"The answer of {self._base_url} was lost ({reason}); read back "
-                "before going on."
+                f"The answer of {self._base_url} was lost ({reason}); read back the "
+                "result before continuing."
             )
         return StoreUnavailable(f"{self._base_url} did not answer ({reason}).")
 
@@ -228,11 +232,11 @@
 
     @property
     def is_available(self) -> bool:
-        """Return whether the service answered lately."""
+        """Return whether the service answered recently."""
         return self._client.is_available
 
     async def transact(self, transaction: Transaction) -> Committed | Conflict:
-        """Apply all the writes if all the conditions hold."""
+        """Apply all writes if all conditions hold."""
         response = await self._client.call(
             "POST",
             "/transact",
@@ -246,14 +250,14 @@
         return Committed(tuple(answer["revisions"]))
 
     async def read(self, table: str, key: str) -> Row | None:
-        """Return the row, or None when there is none."""
+        """Return the row, or None if there is none."""
         body = {"table": table, "key": key}
         return _build_row((await self._read("/read", body))["row"])
 
     async def scan(
         self, table: str, after: str = "", limit: int = 1000
     ) -> tuple[Row, ...]:
-        """Return rows whose key sorts behind `after`, in the order of keys."""
+        """Return the rows with keys greater than `after`, sorted by key."""
         body = {"table": table, "after": after, "limit": limit}
         answer = await self._read("/scan", body)
         return tuple(_build_row(row) for row in answer["rows"])
@@ -280,13 +284,13 @@
     async def put(self, name: str, data: bytes) -> None:
         """Store an object.
 
-        A lost answer is no harm and raises `StoreUnavailable`: the same bytes under
-        the same name may be put again.
+        Idempotent: a lost answer raises `StoreUnavailable`, and the same bytes may be
+        stored again under the same name.
         """
         await self._client.call("PUT", f"/objects/{name}", data)
 
     async def get(self, name: str) -> bytes | None:
-        """Return the object, or None."""
+        """Return the object, or None if there is none."""
         response = await self._client.call("GET", f"/objects/{name}")
         return None if response.code == 404 else response.body
 
@@ -307,7 +311,7 @@
 
 
 class HttpInstances:
-    """The list of instances, which lags."""
+    """The list of instances, which may be out of date."""
 
     def __init__(self, client: PlatformClient):
         self._client = client
--- a/packages/mustardquay-node/src/mustardquay_node/streams.py
+++ b/packages/mustardquay-node/src/mustardquay_node/streams.py
@@ -1,25 +1,25 @@
-"""Streams: whole server-sent events out of the bytes of an engine's answer.
+"""Streams: extracts complete server-sent events from an engine's answer.
 
-Source of the format: the HTML standard, section 9.2, and the OpenAI API, which ends
-a stream with the event `[DONE]`.
+The format is defined by the HTML standard, section 9.2, and by the OpenAI API, which
+ends a stream with the event `[DONE]`.
 """
 
-__all__ = ["DONE_EVENT", "EventCutter"]
+__all__ = ["DONE_EVENT", "EventFramer"]
 
 EVENT_END = b"\n\n"
 DONE_EVENT = b"data: [DONE]\n\n"
 
 
-class EventCutter:
-    """Cuts bytes behind the last whole event and keeps the rest.
+class EventFramer:
+    """Splits bytes after the last complete event and buffers the rest.
 
-    Only whole events are passed on, so that a stream which breaks in the middle of
-    an event can be resumed behind the last one.
+    Only complete events are forwarded, so that a stream that is interrupted within an
+    event can be resumed after the last complete one.
 
-    >>> cutter = EventCutter()
-    >>> cutter.feed(b"data: 1\\n\\nda")
+    >>> framer = EventFramer()
+    >>> framer.feed(b"data: 1\\n\\nda")
     b'data: 1\\n\\n'
-    >>> cutter.feed(b"ta: [DONE]\\n\\n"), cutter.is_done
+    >>> framer.feed(b"ta: [DONE]\\n\\n"), framer.is_done
     (b'data: [DONE]\\n\\n', True)
     """
 
@@ -29,11 +29,11 @@
 
     @property
     def is_done(self) -> bool:
-        """Return whether the end mark has come."""
+        """Return whether the end mark has been received."""
         return self._done
 
     def feed(self, data: bytes) -> bytes:
-        """Return the events that are whole now, possibly none."""
+        """Return the events that are now complete, possibly none."""
         data = self._rest + data
         end = data.rfind(EVENT_END)
         if end < 0:
--- a/packages/mustardquay-node/src/mustardquay_node/upstreams.py
+++ b/packages/mustardquay-node/src/mustardquay_node/upstreams.py
@@ -1,8 +1,8 @@
-"""Upstreams: HTTP calls from an agent to the engine or plain service beside it.
+"""Upstreams: HTTP calls from an agent to its engine or plain service.
 
-Connections are kept and used again for idempotent calls. A call that must not be
-repeated always gets a new connection: on a kept one that was closed or forgotten
-in the meantime, nobody could tell whether the call was run.
+Connections are reused for idempotent calls. A non-repeatable call always uses a new
+connection: if a reused one was closed, or its state dropped by a device in between, it
+would be unknown whether the call was run.
 """
 
 import asyncio
@@ -26,46 +26,46 @@
 
 from .hop_headers import HOP_HEADERS
 
-__all__ = ["CallEnd", "UpstreamCall", "UpstreamClient"]
+__all__ = ["CallResult", "UpstreamCall", "UpstreamClient"]
 
 CONNECT_TIMEOUT = timedelta(seconds=2)
 IDLE_LIMIT = timedelta(seconds=15)
-"""Kept connections that were idle for longer are closed, not used."""
+"""Connections that were idle for longer are closed and not reused."""
 IDLE_CONNECTIONS = 64
 ANSWER_LIMIT = 1024 * 1024 * 1024
-"""Bytes of one answer; the entry's own limit is what counts for callers."""
+"""Maximum bytes of one answer; the limit for callers is enforced by the entry."""
 
 
-class CallEnd(StrEnum):
+class CallResult(StrEnum):
     """How a call ended."""
 
     NOT_SENT = "not_sent"
-    """No byte was sent; the upstream can't have run it."""
-    WHOLE = "whole"
+    """No byte was sent, so the upstream can't have run the call."""
+    COMPLETE = "whole"
     BROKEN = "broken"
-    """The connection ended before the answer did."""
+    """The connection ended before the answer was complete."""
 
 
 class UpstreamStream(IOStream):
-    """A connection whose socket stays watched between two reads.
+    """A connection whose socket stays registered with the event loop between reads.
 
-    Tornado takes three reads for a chunk of an answer, and after the first it stops
-    watching the socket and starts again at the last: two system calls and a new
-    handle for each token, over a third of what reading it takes.
+    Tornado makes three reads for each chunk of an answer. It unregisters the socket
+    after the first one and registers it again for the last: two system calls and a new
+    handle for each token, over a third of the cost of reading it.
     """
 
     def __init__(self, connection: socket.socket):
         super().__init__(connection)
-        self.held_back = False
-        """Whether the reader can't take more now, so that nothing is read ahead."""
+        self.read_paused = False
+        """Whether the receiver can't accept more data now, so nothing is read ahead."""
 
     def reading(self) -> bool:
-        """Return whether the socket is to be watched."""
-        return not self.held_back or super().reading()
+        """Return whether the socket should stay registered for reading."""
+        return not self.read_paused or super().reading()
 
 
 class UpstreamCall(HTTPMessageDelegate):
-    """One call: what to send, and whom to tell of the answer."""
+    """One call: the request and the callbacks that receive the answer."""
 
     def __init__(
         self,
@@ -73,38 +73,39 @@
         path: str,
         headers: Sequence[Header],
         body: bytes,
-        head: Callable[[int, tuple[Header, ...]], None],
-        data: Callable[[bytes], Awaitable[None] | None],
-        sending: Callable[[], None] = lambda: None,
+        on_head: Callable[[int, tuple[Header, ...]], None],
+        on_data: Callable[[bytes], Awaitable[None] | None],
+        on_send: Callable[[], None] = lambda: None,
     ):
-        """Take the request, and the receivers of the answer's head and body.
+        """Set the request and the callbacks for the answer's head and body.
 
-        `sending` is called when a connection stands, just before the first byte.
+        `on_send` is called once the connection is open, just before the first byte is
+        sent.
         """
         self.method = method
         self.path = path
         self.headers = headers
         self.body = body
-        self._head = head
-        self._data = data
-        self._sending = sending
+        self._on_head = on_head
+        self._on_data = on_data
+        self._on_send = on_send
         self._stream: UpstreamStream | None = None
         self.answered = False
-        """Whether the head of the answer has come."""
+        """Whether the head of the answer has been received."""
         self.whole = False
         self.reusable = True
         self.cancelled = False
 
     def attach(self, stream: UpstreamStream) -> None:
-        """Note the connection that carries the call."""
+        """Set the connection of the call."""
         if self._stream is None:
-            self._sending()
+            self._on_send()
         self._stream = stream
 
     def cancel(self) -> None:
-        """Close the connection, which ends the call as broken.
+        """Close the connection, which ends the call as `BROKEN`.
 
-        A call that has no connection yet gets none, and ends as not sent.
+        A call that has no connection yet is never sent and ends as `NOT_SENT`.
         """
         self.cancelled = True
         if self._stream is not None:
@@ -113,7 +114,7 @@
     def headers_received(
         self, start_line: RequestStartLine | ResponseStartLine, headers: HTTPHeaders
     ) -> None:
-        """Pass on the head, without the headers of the connection."""
+        """Pass on the head without its hop-by-hop headers."""
         assert isinstance(start_line, ResponseStartLine)
         if start_line.code < 200:
             return
@@ -124,33 +125,33 @@
             for name, value in headers.get_all()
             if name.lower() not in HOP_HEADERS
         )
-        self._head(start_line.code, kept)
+        self._on_head(start_line.code, kept)
 
     def data_received(self, chunk: bytes) -> Awaitable[None] | None:
-        """Pass on a part of the body; waits while the receiver can't take more."""
-        waiting = self._data(chunk)
-        return None if waiting is None else self._hold_back(waiting)
+        """Pass on a chunk of the body; wait while the receiver can't accept more."""
+        waiting = self._on_data(chunk)
+        return None if waiting is None else self._pause_reading(waiting)
 
     def finish(self) -> None:
-        """Note the end of the answer."""
+        """Mark the answer as complete."""
         self.whole = self.answered
 
     def on_connection_close(self) -> None:
-        """Leave the answer as broken."""
+        """Do nothing: the answer stays marked as incomplete."""
 
-    async def _hold_back(self, waiting: Awaitable[None]) -> None:
-        # Read ahead, a long answer to a slow caller would fill this process's
-        # memory; the engine has to feel that nobody takes it.
+    async def _pause_reading(self, waiting: Awaitable[None]) -> None:
+        # Backpressure: reading ahead, a long answer to a slow caller would fill this
+        # process's memory, and the engine would not slow down.
         assert self._stream is not None
-        self._stream.held_back = True
+        self._stream.read_paused = True
         try:
             await waiting
         finally:
-            self._stream.held_back = False
+            self._stream.read_paused = False
 
 
 class UpstreamClient:
-    """Calls one upstream over connections that it keeps."""
+    """Calls one upstream over a pool of connections."""
 
     def __init__(self, url: str):
         parts = urlsplit(url)
@@ -161,36 +162,36 @@
         self._parameters = HTTP1ConnectionParameters(max_body_size=ANSWER_LIMIT)
 
     def close(self) -> None:
-        """Close the connections that are kept."""
+        """Close the idle connections."""
         while self._idle:
             self._idle.pop()[0].close()
 
-    async def run(self, call: UpstreamCall, fresh: bool) -> CallEnd:
-        """Send the call and pass on its answer; `fresh` for a new connection."""
+    async def run(self, call: UpstreamCall, fresh: bool) -> CallResult:
+        """Send the call and pass on its answer; `fresh` requires a new connection."""
         stream = None if fresh else self._take_idle()
         kept = stream is not None
         if stream is None:
             stream = await self._connect()
         if stream is None:
-            return CallEnd.NOT_SENT
+            return CallResult.NOT_SENT
         if call.cancelled:
             self._keep(call, stream)
-            return CallEnd.NOT_SENT
+            return CallResult.NOT_SENT
         await self._exchange(call, stream)
         if call.whole:
             self._keep(call, stream)
-            return CallEnd.WHOLE
+            return CallResult.COMPLETE
         stream.close()
         if kept and not call.answered and not call.cancelled:
-            # A kept connection may have been closed by the other end just before
-            # it was used, which looks like a crash. The call is idempotent, so it
-            # may be sent once more over a new one.
+            # The upstream may have closed a reused connection just before the call was
+            # sent, which looks like a crash. The call is idempotent, so it is retried
+            # once over a new connection.
             return await self._run_again(call)
-        return CallEnd.BROKEN
+        return CallResult.BROKEN
 
-    async def _run_again(self, call: UpstreamCall) -> CallEnd:
+    async def _run_again(self, call: UpstreamCall) -> CallResult:
         end = await self.run(call, fresh=True)
-        return CallEnd.BROKEN if end is CallEnd.NOT_SENT else end
+        return CallResult.BROKEN if end is CallResult.NOT_SENT else end
 
     def _take_idle(self) -> UpstreamStream | None:
         oldest = asyncio.get_running_loop().time() - IDLE_LIMIT.total_seconds()
--- a/packages/mustardquay-node/tests/test_executors.py
+++ b/packages/mustardquay-node/tests/test_executors.py
@@ -8,7 +8,7 @@
 from mustardquay.quarantines import Quarantine
 from mustardquay.queues import FairQueue
 from mustardquay_node.executors import Executor, ExecutorOptions
-from mustardquay_node.upstreams import CallEnd
+from mustardquay_node.upstreams import CallResult
 
 SECOND = timedelta(seconds=1)
 OWNER = ("entry-1", 1)
@@ -34,11 +34,11 @@
     async def run(self, call, fresh):
         await asyncio.sleep(0)
         if call.cancelled:
-            return CallEnd.NOT_SENT
+            return CallResult.NOT_SENT
         self.reached += 1
-        call._sending()
-        call._head(201, ())
-        return CallEnd.WHOLE
+        call._on_send()
+        call._on_head(201, ())
+        return CallResult.COMPLETE
 
     def close(self):
         return None
