--- a/benchmarks/controls.py
+++ b/benchmarks/controls.py
@@ -39,7 +39,7 @@
     check_edit,
 )
 from mustardquay.tables import Transaction, Write
-from mustardquay_node.configurations import ConfigurationKeeper
+from mustardquay_node.configurations import ConfigurationReplica
 from mustardquay_node.controllers import Controller
 from mustardquay_node.frames import Batch, decode_batch, encode_batch
 from mustardquay_node.reconcilers import Reconciler
@@ -121,8 +121,8 @@
         )
         for number in range(size)
     ]
-    keepers = [
-        ConfigurationKeeper(make_store(), LocalObjects(), Random(number), lambda: True)
+    replicas = [
+        ConfigurationReplica(make_store(), LocalObjects(), Random(number), lambda: True)
         for number in range(min(entries, 3))
     ]
     controllers = [
@@ -130,33 +130,33 @@
             "zone",
             f"entry-{number}",
             make_store(),
-            keeper,
+            replica,
             clock,
             Random(number),
         )
-        for number, keeper in enumerate(keepers)
+        for number, replica in enumerate(replicas)
     ]
-    await _turn(clock, agents, keepers, controllers, 60)
+    await _turn(clock, agents, replicas, controllers, 60)
     before = [(s.counters.reads, s.counters.writes) for s in stores]
     started = time.process_time()
-    await _turn(clock, agents, keepers, controllers, VIRTUAL_SECONDS)
+    await _turn(clock, agents, replicas, controllers, VIRTUAL_SECONDS)
     seconds = time.process_time() - started
     reads = sum(s.counters.reads for s in stores) - sum(item[0] for item in before)
     writes = sum(s.counters.writes for s in stores) - sum(item[1] for item in before)
     return reads / VIRTUAL_SECONDS, writes / VIRTUAL_SECONDS, seconds, entries
 
 
-async def _turn(clock, agents, keepers, controllers, seconds: int) -> None:
+async def _turn(clock, agents, replicas, controllers, seconds: int) -> None:
     """Take the turns that fall into so many virtual seconds."""
     for second in range(seconds):
         for agent in agents:
-            await agent.turn()
+            await agent.run_once()
         if second % 2 == 0:
-            for keeper in keepers:
-                await keeper.poll()
+            for replica in replicas:
+                await replica.poll()
         if second % 5 in (0, 2):
             for controller in controllers:
-                await controller.turn()
+                await controller.run_once()
         clock.advance(timedelta(seconds=1))
 
 
@@ -177,7 +177,7 @@
             "zone",
             f"entry-{number}",
             store,
-            ConfigurationKeeper(store, LocalObjects(), Random(seed), lambda: True),
+            ConfigurationReplica(store, LocalObjects(), Random(seed), lambda: True),
             clock,
             Random(seed),
             term=TERM,
@@ -193,7 +193,7 @@
             dead = next(item for _, item in [(now, controller), *due] if item.held)
         clock.advance(now - clock.monotonic())
         if controller is not dead:
-            await controller.turn()
+            await controller.run_once()
             due.append((now + TERM / 4 * (0.75 + random.random() / 2), controller))
         if dead is not None and controller is not dead and controller.held:
             return (now - died_at).total_seconds()
--- a/packages/mustardquay-cli/tests/conftest.py
+++ b/packages/mustardquay-cli/tests/conftest.py
@@ -11,7 +11,7 @@
 from mustardquay import EventRing, HybridClock, VirtualClock
 from mustardquay.revisions import Configuration, Edit, Entry, apply_entry, check_edit
 from mustardquay_cli.commands import app
-from mustardquay_node.admins import AdminParts, AdminServer
+from mustardquay_node.admins import AdminDependencies, AdminServer
 from mustardquay_node.metrics import NodeMetrics
 from mustardquay_node.statuses import Probe, ProcessStatus, UpstreamStatus
 
@@ -68,7 +68,7 @@
     def start(self) -> None:
         self._thread.start()
         for name, actions in (("entry-1", self.actions), ("agent-1", None)):
-            parts = AdminParts(
+            deps = AdminDependencies(
                 operator_keys=(KEY,),
                 ring=self.rings[name],
                 metrics=NodeMetrics(name, name.partition("-")[0], "linz"),
@@ -77,7 +77,7 @@
                 probe_readiness=lambda: Probe(True),
                 actions=actions,
             )
-            server = AdminServer(parts, "127.0.0.1", 0)
+            server = AdminServer(deps, "127.0.0.1", 0)
             self._call(self._start_server(server))
             self._servers.append(server)
 
--- a/packages/mustardquay-node/src/mustardquay_node/handlers.py
+++ b/packages/mustardquay-node/src/mustardquay_node/admin_handlers.py
@@ -1,4 +1,4 @@
-"""Handlers: base classes of the admin port's request handlers."""
+"""Admin handlers: base classes of the admin port's request handlers."""
 
 import hmac
 import logging
@@ -53,7 +53,7 @@
         self.set_header("Content-Type", "application/json")
         self.finish(orjson.dumps(value, option=orjson.OPT_APPEND_NEWLINE))
 
-    def fault(self, status: int, message: str) -> HTTPError:
+    def make_error(self, status: int, message: str) -> HTTPError:
         """Return an error to raise; the message says how to correct the request."""
         # Passed as an argument, since Tornado would treat a `%` in it as a format.
         return HTTPError(status, "%s", message, reason=None)
@@ -62,7 +62,7 @@
         """Return an integer from the query."""
         text = self.get_query_argument(name, str(default))
         if not (text.isascii() and text.isdigit() and low <= int(text) <= high):
-            raise self.fault(400, f"{name} must be {low} to {high}; change it.")
+            raise self.make_error(400, f"{name} must be {low} to {high}; change it.")
         return int(text)
 
     def write_error(self, status_code: int, **options: Any) -> None:
@@ -123,7 +123,7 @@
         matches = [hmac.compare_digest(self._given, digest) for digest in self._digests]
         if scheme.lower() != "bearer" or not any(matches):
             self.set_header("WWW-Authenticate", "Bearer")
-            raise self.fault(
+            raise self.make_error(
                 401, "An operator's key is needed; send Authorization: Bearer KEY."
             )
 
@@ -138,5 +138,5 @@
     def prepare(self) -> None:
         """Refuse the request; on an agent, refer to entries for their paths."""
         if self.request.path.startswith("/admin/") and not self._has_editors:
-            raise self.fault(421, "An agent has no such path; ask an entry.")
-        raise self.fault(404, f"There is no {self.request.path}; see the docs.")
+            raise self.make_error(421, "An agent has no such path; ask an entry.")
+        raise self.make_error(404, f"There is no {self.request.path}; see the docs.")
--- a/packages/mustardquay-node/src/mustardquay_node/admins.py
+++ b/packages/mustardquay-node/src/mustardquay_node/admins.py
@@ -16,16 +16,16 @@
 from mustardquay.event_records import describe_event
 from mustardquay.events import EventRing, Stamp, select_events
 
+from .admin_handlers import AdminHandler, BaseHandler, FallbackHandler, hash_keys
 from .amendments import AdminActions
 from .changes import ChangeHandler, ChangesHandler
 from .contracts import ContractHandler, ContractsHandler
-from .handlers import AdminHandler, BaseHandler, FallbackHandler, hash_keys
 from .metric_pages import load_exporters
 from .metrics import NodeMetrics
 from .releases import ReleaseHandler, ReleasesHandler
 from .statuses import Probe, ProcessStatus, describe_status
 
-__all__ = ["AdminActions", "AdminParts", "AdminServer", "make_application"]
+__all__ = ["AdminActions", "AdminDependencies", "AdminServer", "make_application"]
 
 BODY_LIMIT = 1 << 20
 IDLE_TIMEOUT = timedelta(seconds=60)
@@ -44,7 +44,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class AdminParts:
+class AdminDependencies:
     """The data sources and actions of one process's admin port."""
 
     operator_keys: Sequence[str]
@@ -59,24 +59,24 @@
     """None where the configuration can't be edited, as on an agent."""
 
 
-def make_application(parts: AdminParts) -> Application:
+def make_application(deps: AdminDependencies) -> Application:
     """Return the Tornado application of an admin port."""
-    digests = hash_keys(parts.operator_keys)
+    digests = hash_keys(deps.operator_keys)
     keyed = {"digests": digests}
     rules = [
-        (r"/healthz", _ProbeHandler, {"probe": parts.probe_health}),
-        (r"/readyz", _ProbeHandler, {"probe": parts.probe_readiness}),
-        (r"/metrics", _MetricsHandler, {"metrics": parts.metrics}),
-        (r"/admin/status", _StatusHandler, keyed | {"read": parts.read_status}),
-        (r"/admin/events", _EventsHandler, keyed | {"ring": parts.ring}),
+        (r"/healthz", _ProbeHandler, {"probe": deps.probe_health}),
+        (r"/readyz", _ProbeHandler, {"probe": deps.probe_readiness}),
+        (r"/metrics", _MetricsHandler, {"metrics": deps.metrics}),
+        (r"/admin/status", _StatusHandler, keyed | {"read": deps.read_status}),
+        (r"/admin/events", _EventsHandler, keyed | {"ring": deps.ring}),
     ]
-    if parts.actions is not None:
-        options = keyed | {"actions": parts.actions}
+    if deps.actions is not None:
+        options = keyed | {"actions": deps.actions}
         rules += [(path, handler, options) for path, handler in _EDITORS]
     return Application(
         rules,
         default_handler_class=FallbackHandler,
-        default_handler_args={"has_editors": parts.actions is not None},
+        default_handler_args={"has_editors": deps.actions is not None},
         log_function=lambda handler: None,
     )
 
@@ -84,8 +84,8 @@
 class AdminServer:
     """Serves an admin port; with `port` 0, any free port."""
 
-    def __init__(self, parts: AdminParts, address: str, port: int):
-        self._parts = parts
+    def __init__(self, deps: AdminDependencies, address: str, port: int):
+        self._deps = deps
         self._address = address
         self._port = port
         self._server: HTTPServer | None = None
@@ -100,7 +100,7 @@
         sockets = bind_sockets(self._port, self._address)
         self._port = sockets[0].getsockname()[1]
         self._server = HTTPServer(
-            make_application(self._parts),
+            make_application(self._deps),
             max_body_size=BODY_LIMIT,
             idle_connection_timeout=IDLE_TIMEOUT.total_seconds(),
             body_timeout=BODY_TIMEOUT.total_seconds(),
@@ -167,6 +167,6 @@
         try:
             return Stamp(int(physical), int(logical or 0))
         except ValueError:
-            raise self.fault(
+            raise self.make_error(
                 400, "after is no stamp; write microseconds.logical, such as 0.0."
             ) from None
--- a/packages/mustardquay-node/src/mustardquay_node/agents.py
+++ b/packages/mustardquay-node/src/mustardquay_node/agents.py
@@ -22,20 +22,20 @@
 from mustardquay.queues import FairQueue
 from mustardquay.works import Role
 
-from .admins import AdminParts, AdminServer
+from .admins import AdminDependencies, AdminServer
 from .engines import HttpEngine, PlainService
 from .executors import Executor, ExecutorOptions
 from .links import Link
 from .listeners import Listener, get_owner
 from .loops import start_loop
 from .node_settings import Settings
-from .nodes import Node, connect_configuration, spread_configuration
+from .nodes import Node, exchange_configuration, subscribe_to_configuration
 from .orphans import OrphanRecorder
 from .reconcilers import Reconciler
-from .reports import Reporter, UpstreamReport
 from .runs import Owner
 from .services import name_service
 from .statuses import Probe, ProcessStatus
+from .upstream_pollers import UpstreamPoller, UpstreamReport
 from .upstreams import UpstreamClient
 
 __all__ = ["Agent"]
@@ -57,24 +57,24 @@
         self._settings = settings.agent
         super().__init__(settings, clock, seed, write_event, lambda: False)
         self._listener = Listener(
-            self._parts,
+            self._deps,
             self._settings.port,
             self._make_heartbeat,
             self._receive,
             self._note_lost,
         )
-        self._reporter = Reporter(
+        self._poller = UpstreamPoller(
             self._settings.upstream,
             self._settings.kind,
             self._settings.report_interval,
             self._note_report,
         )
         self._orphans = OrphanRecorder(
-            self._parts.platform.tables,
-            self._parts.platform.objects,
-            self._parts.clock,
-            self._parts.random,
-            f"{settings.node.name}-{self._parts.incarnation}",
+            self._deps.platform.tables,
+            self._deps.platform.objects,
+            self._deps.clock,
+            self._deps.random,
+            f"{settings.node.name}-{self._deps.incarnation}",
         )
         self._executor = Executor(
             ExecutorOptions(
@@ -86,18 +86,20 @@
             ),
             UpstreamClient(self._settings.upstream),
             FairQueue(self._settings.queue_capacity, self._settings.concurrency),
-            self._parts.quarantine,
-            self._parts.clock,
-            self._parts.events,
-            self._reporter.probe,
-            self._beat,
+            self._deps.quarantine,
+            self._deps.clock,
+            self._deps.events,
+            self._poller.probe,
+            self._send_heartbeat,
             self._orphans.record,
         )
         self._agent_count = 1
         self._drain_requested = False
         self._reconciler = self._make_reconciler()
         self._admin = AdminServer(
-            self._make_admin_parts(), settings.node.address, settings.node.admin_port
+            self._make_admin_dependencies(),
+            settings.node.address,
+            settings.node.admin_port,
         )
         self._sweeper: asyncio.Task[None] | None = None
         self._disconnect: Callable[[], None] = lambda: None
@@ -114,7 +116,7 @@
 
     async def start(self) -> None:
         """Start polling the upstream, listening for links and accepting work."""
-        parts = self._parts
+        deps = self._deps
         self._watch(
             {
                 "queue.requests": lambda: self._executor.waiting,
@@ -123,28 +125,28 @@
                 "links": lambda: len(self._listener),
             }
         )
-        parts.metrics.start()
-        await parts.platform.start()
+        deps.metrics.start()
+        await deps.platform.start()
         self._orphans.start()
-        self._disconnect = connect_configuration(self._keeper, self._beat)
-        await self._keeper.start()
-        self._reporter.start()
+        self._disconnect = subscribe_to_configuration(
+            self._replica, self._send_heartbeat
+        )
+        await self._replica.start()
+        self._poller.start()
         await self._reconciler.start()
         await self._listener.start()
         self._admin.start()
         self._sweeper = start_loop(self._sweep, SWEEP_INTERVAL)
-        parts.events.record("process.started", upstream=self._settings.upstream_name)
+        deps.events.record("process.started", upstream=self._settings.upstream_name)
 
     async def drain(self) -> None:
         """Refuse new work, notify all entries and wait until the agent is idle."""
-        self._parts.events.record(
-            "drain.started", upstream=self._settings.upstream_name
-        )
+        self._deps.events.record("drain.started", upstream=self._settings.upstream_name)
         self._drain_requested = True
         self._executor.start_drain()
-        self._beat()
+        self._send_heartbeat()
         await self._executor.wait_until_empty()
-        self._parts.events.record("drain.ended", upstream=self._settings.upstream_name)
+        self._deps.events.record("drain.ended", upstream=self._settings.upstream_name)
 
     def end_drain(self) -> None:
         """Accept new work again, unless the order row requires a drain."""
@@ -165,18 +167,18 @@
         await self._reconciler.close()
         await self._executor.close()
         await self._orphans.close()
-        await self._reporter.close()
-        await self._keeper.close()
+        await self._poller.close()
+        await self._replica.close()
         await self._admin.close()
-        await self._parts.platform.close()
-        self._parts.metrics.close()
+        await self._deps.platform.close()
+        self._deps.metrics.close()
 
     def _make_heartbeat(self) -> Heartbeat:
-        report = self._reporter.report
+        report = self._poller.report
         executor = self._executor
         return Heartbeat(
-            version=self._keeper.version,
-            confirmed=self._keeper.current,
+            version=self._replica.version,
+            confirmed=self._replica.current,
             draining=executor.draining,
             ready=self._may_serve,
             upstream=self._settings.upstream_name,
@@ -199,7 +201,7 @@
 
     def _note_lost(self, link: Link) -> None:
         self._executor.detach(link)
-        self._keeper.forget(link.peer.process)
+        self._replica.forget_peer(link.peer.process)
 
     def _receive(self, link: Link, message: Message) -> None:
         owner = get_owner(link)
@@ -216,10 +218,10 @@
                 self._reconciler.poll_soon()
             case _:
                 if isinstance(message, Heartbeat):
-                    now = self._parts.clock.monotonic()
-                    self._parts.quarantine.merge(message.crashes, now)
+                    now = self._deps.clock.monotonic()
+                    self._deps.quarantine.merge(message.crashes, now)
                     self._agent_count = max(message.agents, 1)
-                spread_configuration(self._keeper, link, message)
+                exchange_configuration(self._replica, link, message)
 
     def _take_attempt(self, owner: Owner, attempt: Attempt, link: Link) -> None:
         refusal = self._check_attempt(attempt)
@@ -229,23 +231,23 @@
             self._executor.refuse(owner, attempt, link, refusal)
 
     def _check_attempt(self, attempt: Attempt) -> Refusal | None:
-        if attempt.incarnation != self._parts.incarnation:
+        if attempt.incarnation != self._deps.incarnation:
             message = "The agent was replaced; send the attempt to the new one."
             return Refusal(Reason.STALE_INCARNATION, message)
-        if not self._keeper.current:
+        if not self._replica.current:
             message = "The agent's configuration is not confirmed yet; use another."
             return Refusal(Reason.NOT_CURRENT, message, timedelta(seconds=1))
         if not self._reconciler.ready:
             message = "The upstream is not in the state of its order; use another."
             return Refusal(Reason.DRAINING, message, timedelta(seconds=1))
-        if attempt.version < self._keeper.version:
+        if attempt.version < self._replica.version:
             return self._check_contract(attempt)
         return None
 
     def _check_contract(self, attempt: Attempt) -> Refusal | None:
         # The entry admitted this attempt under an older configuration version. The
         # contract may have been changed or removed since; the newer version applies.
-        contract = self._keeper.configuration.contracts.get(attempt.customer)
+        contract = self._replica.configuration.contracts.get(attempt.customer)
         if contract is not None:
             allowed = (*contract.models, *map(name_service, contract.services))
             if attempt.model in allowed:
@@ -254,7 +256,7 @@
         return Refusal(Reason.CONTRACT, message)
 
     def _take_reattach(self, owner: Owner, reattach: Reattach, link: Link) -> None:
-        if reattach.incarnation == self._parts.incarnation:
+        if reattach.incarnation == self._deps.incarnation:
             self._executor.reattach(owner, reattach, link)
             return
         message = "The agent was replaced; what ran is not known."
@@ -267,33 +269,33 @@
         if after.cache_events is not None:
             self._listener.send(after.cache_events)
         if after.without_load() != before.without_load():
-            self._parts.events.record(
+            self._deps.events.record(
                 "upstream.changed",
                 upstream=self._settings.upstream_name,
                 reachable=after.reachable,
                 boot=after.boot,
                 role=after.role.value,
             )
-            self._beat()
+            self._send_heartbeat()
 
     @property
     def _may_serve(self) -> bool:
-        report = self._reporter.report
-        if not report.reachable or report.changing or not self._keeper.current:
+        report = self._poller.report
+        if not report.reachable or report.changing or not self._replica.current:
             return False
         return self._reconciler.ready
 
     def _make_reconciler(self) -> Reconciler:
-        parts, settings = self._parts, self._settings
+        deps, settings = self._deps, self._settings
         is_service = settings.kind == "service"
         return Reconciler(
             settings.upstream_name,
-            parts.identity.availability_zone,
-            f"{parts.identity.process}-{parts.incarnation}",
-            parts.platform.tables,
+            deps.identity.availability_zone,
+            f"{deps.identity.process}-{deps.incarnation}",
+            deps.platform.tables,
             PlainService() if is_service else HttpEngine(settings.upstream),
-            parts.clock,
-            parts.random,
+            deps.clock,
+            deps.random,
             settings.fencing,
             settings.longest_order,
             is_idle=lambda: not self._executor.running,
@@ -316,28 +318,28 @@
         kind = "drain.started" if drain_needed else "drain.ended"
         row = self._reconciler.row
         cause = row.cause if row is not None else "no order yet"
-        self._parts.events.record(
+        self._deps.events.record(
             kind, upstream=self._settings.upstream_name, cause=cause
         )
         if drain_needed:
             self._executor.start_drain()
         else:
             self._executor.end_drain()
-        self._beat()
+        self._send_heartbeat()
 
-    def _beat(self) -> None:
-        self._listener.beat()
+    def _send_heartbeat(self) -> None:
+        self._listener.send_heartbeat()
 
     def list_faults(self) -> tuple[str, ...]:
         """Return the reasons why this process is not ready, one sentence each."""
         faults = []
         if self._executor.draining:
             faults.append("The agent is draining.")
-        if not self._reporter.report.reachable:
+        if not self._poller.report.reachable:
             faults.append("The upstream does not answer.")
-        if self._reporter.report.changing:
+        if self._poller.report.changing:
             faults.append("The upstream is executing an order.")
-        if not self._keeper.current:
+        if not self._replica.current:
             faults.append("The configuration is not confirmed.")
         if self._reconciler.superseded:
             faults.append("Another agent has claimed the upstream; stop this one.")
@@ -345,18 +347,18 @@
             faults.append("The upstream does not match its order.")
         return tuple(faults)
 
-    def _make_admin_parts(self) -> AdminParts:
-        return AdminParts(
+    def _make_admin_dependencies(self) -> AdminDependencies:
+        return AdminDependencies(
             operator_keys=self._settings.operator_keys,
-            ring=self._parts.events,
-            metrics=self._parts.metrics,
+            ring=self._deps.events,
+            metrics=self._deps.metrics,
             read_status=self._read_status,
             probe_health=lambda: Probe(True),
             probe_readiness=self._probe_readiness,
         )
 
     def _read_status(self) -> ProcessStatus:
-        node = self._parts.settings.node
+        node = self._deps.settings.node
         faults = self.list_faults()
         return ProcessStatus(
             process=node.name,
@@ -364,12 +366,12 @@
             availability_zone=node.availability_zone,
             region=node.region,
             version=__version__,
-            configuration=self._keeper.version,
-            peers=self._keeper.peer_versions,
+            configuration=self._replica.version,
+            peers=self._replica.peer_versions,
             ready=not faults,
             draining=self._executor.draining,
             faults=faults,
-            incarnation=self._parts.incarnation,
+            incarnation=self._deps.incarnation,
             waiting=self._executor.waiting,
             running=self._executor.running,
         )
--- a/packages/mustardquay-node/src/mustardquay_node/amendments.py
+++ b/packages/mustardquay-node/src/mustardquay_node/amendments.py
@@ -16,7 +16,7 @@
 from mustardquay.releases import describe_release
 from mustardquay.revisions import Amendment, Configuration, Edit
 
-from .handlers import AdminHandler
+from .admin_handlers import AdminHandler
 
 __all__ = [
     "CHANGE_ID_HEADER",
@@ -68,7 +68,9 @@
         try:
             return orjson.loads(self.request.body)
         except orjson.JSONDecodeError as error:
-            raise self.fault(400, f"The body is not JSON ({error}); mend it.") from None
+            raise self.make_error(
+                400, f"The body is not JSON ({error}); mend it."
+            ) from None
 
     async def amend(self, *amendments: Amendment) -> int:
         """Apply amendments in one edit and return the new version."""
--- a/packages/mustardquay-node/src/mustardquay_node/authorities.py
+++ b/packages/mustardquay-node/src/mustardquay_node/authorities.py
@@ -12,10 +12,10 @@
 from mustardquay.membership import Instance, choose_domains
 from mustardquay.orders import OrderRow
 
-from .configurations import ConfigurationKeeper
+from .configurations import ConfigurationReplica
 from .controllers import Controller, lease_changed, rows_written
 from .domains import Domains
-from .nodes import NodeParts
+from .nodes import NodeDependencies
 
 __all__ = ["Authorities"]
 
@@ -27,8 +27,8 @@
 
     def __init__(
         self,
-        parts: NodeParts,
-        keeper: ConfigurationKeeper,
+        parts: NodeDependencies,
+        replica: ConfigurationReplica,
         term: timedelta,
         find_instance: Callable[[str], str],
         tell_changed: Callable[[str], None],
@@ -39,7 +39,7 @@
         the agent of an upstream that its order row has changed.
         """
         self._parts = parts
-        self._keeper = keeper
+        self._replica = replica
         self._term = term
         self._find_instance = find_instance
         self._tell_changed = tell_changed
@@ -76,7 +76,7 @@
             domain,
             f"{parts.identity.process}-{parts.incarnation}",
             parts.platform.tables,
-            self._keeper,
+            self._replica,
             parts.clock,
             parts.random,
             find_instance=self._find_instance,
--- a/packages/mustardquay-node/src/mustardquay_node/changes.py
+++ b/packages/mustardquay-node/src/mustardquay_node/changes.py
@@ -55,7 +55,7 @@
     def _find(self, configuration: Configuration, name: str) -> PlannedChange:
         change = configuration.changes.get(name)
         if change is None:
-            raise self.fault(
+            raise self.make_error(
                 404, f"There is no planned change {name}; list them or announce one."
             )
         return change
--- a/packages/mustardquay-node/src/mustardquay_node/configurations.py
+++ b/packages/mustardquay-node/src/mustardquay_node/configurations.py
@@ -34,7 +34,7 @@
 
 from .loops import start_loop
 
-__all__ = ["ConfigurationKeeper", "configuration_changed"]
+__all__ = ["ConfigurationReplica", "configuration_changed"]
 
 logger = logging.getLogger(__name__)
 
@@ -50,7 +50,7 @@
 SNAPSHOT_MARK = b"S"
 
 
-class ConfigurationKeeper:
+class ConfigurationReplica:
     """One process's replica of the configuration log.
 
     `is_reader` returns whether this process is currently one of those of its zone
@@ -103,7 +103,7 @@
         return self._peer_versions
 
     @property
-    def wanted_after(self) -> int | None:
+    def missing_after(self) -> int | None:
         """Return the version after which entries are missing, or None."""
         return self.version if self._highest > self.version else None
 
@@ -137,7 +137,7 @@
                 self._confirm()
             return head
 
-    def hear(self, peer: str, version: int, current: bool) -> None:
+    def note_peer_version(self, peer: str, version: int, current: bool) -> None:
         """Update a peer's version, and whether it is current, from its heartbeat."""
         self._highest = max(self._highest, version)
         self._peer_versions[peer] = version
@@ -147,12 +147,12 @@
             self._current_peers.pop(peer, None)
         self._confirm_by_peers()
 
-    def forget(self, peer: str) -> None:
+    def forget_peer(self, peer: str) -> None:
         """Remove a peer whose link is lost; it can't confirm a version any more."""
         self._current_peers.pop(peer, None)
         self._peer_versions.pop(peer, None)
 
-    def offer(self, entries: Iterable[Entry]) -> None:
+    def add_entries(self, entries: Iterable[Entry]) -> None:
         """Add entries in any order; those after a gap are applied once it is filled."""
         for entry in entries:
             self._highest = max(self._highest, entry.version)
@@ -162,7 +162,7 @@
                 self._pending[entry.version] = entry
         self._apply_pending()
 
-    def offer_items(self, items: Iterable[bytes]) -> None:
+    def add_items(self, items: Iterable[bytes]) -> None:
         """Add the result of a peer's `list_items`; raises `ProtocolError`."""
         entries = []
         for item in items:
@@ -175,7 +175,7 @@
                 raise ProtocolError(
                     "A configuration log item has an unknown type; upgrade the peer."
                 )
-        self.offer(entries)
+        self.add_entries(entries)
 
     def list_items(self, after: int) -> Sequence[bytes]:
         """Return the items that a peer at version `after` lacks, oldest first.
@@ -208,7 +208,7 @@
                 CONFIGURATIONS, build_entry_key(before), BATCH
             )
             rows = [row for row in rows if row.key.startswith(ENTRY_PREFIX)]
-            self.offer(decode(Entry, row.value) for row in rows)
+            self.add_entries(decode(Entry, row.value) for row in rows)
             if self.version == before:
                 await self._load_snapshot()
             if self.version == before:
@@ -252,7 +252,7 @@
             return
         if (
             self.version >= max(self._current_peers.values())
-            and self.wanted_after is None
+            and self.missing_after is None
         ):
             self._confirm()
 
--- a/packages/mustardquay-node/src/mustardquay_node/contracts.py
+++ b/packages/mustardquay-node/src/mustardquay_node/contracts.py
@@ -35,7 +35,7 @@
         """Apply several contracts atomically, in one edit."""
         body = self.read_body()
         if not isinstance(body, dict) or not isinstance(body.get("contracts"), list):
-            raise self.fault(400, 'The body lacks a list "contracts"; add it.')
+            raise self.make_error(400, 'The body lacks a list "contracts"; add it.')
         documents = [
             check_document(ContractDocument, fields, f"contracts.{index}")
             for index, fields in enumerate(body["contracts"])
@@ -65,7 +65,7 @@
         """
         changes = self.read_body()
         if not isinstance(changes, dict):
-            raise self.fault(400, "The body must be a JSON object; mend it.")
+            raise self.make_error(400, "The body must be a JSON object; mend it.")
         configuration = await self.actions.read_configuration()
         present = describe_contract(self._find(configuration, customer))
         lateness = changes.get("lateness", {})
@@ -83,7 +83,7 @@
     async def _apply(self, customer: str, fields: Any) -> None:
         document = check_document(ContractDocument, fields, "contract")
         if document.customer != customer:
-            raise self.fault(
+            raise self.make_error(
                 400,
                 f"customer: is {document.customer} in the body and {customer} in the "
                 "path; make them equal.",
@@ -94,7 +94,7 @@
     def _find(self, configuration: Configuration, customer: str) -> Contract:
         contract = configuration.contracts.get(customer)
         if contract is None:
-            raise self.fault(
+            raise self.make_error(
                 404, f"There is no contract of {customer}; list them or apply one."
             )
         return contract
--- a/packages/mustardquay-node/src/mustardquay_node/controllers.py
+++ b/packages/mustardquay-node/src/mustardquay_node/controllers.py
@@ -27,7 +27,7 @@
 from mustardquay.rollouts import EngineStatus, propose_rows
 from mustardquay.tables import Condition, Row, TableService, Write
 
-from .configurations import ConfigurationKeeper
+from .configurations import ConfigurationReplica
 from .editors import EditCheck
 from .loops import start_loop
 
@@ -73,7 +73,7 @@
         domain: str,
         candidate: str,
         tables: TableService,
-        keeper: ConfigurationKeeper,
+        replica: ConfigurationReplica,
         clock: Clock,
         random: Random,
         is_candidate: Callable[[], bool] = lambda: True,
@@ -84,7 +84,7 @@
     ):
         self._domain = domain
         self._tables = tables
-        self._keeper = keeper
+        self._replica = replica
         self._clock = clock
         self._random = random
         self._is_candidate = is_candidate
@@ -121,7 +121,7 @@
 
     async def start(self) -> None:
         """Start competing for the lease."""
-        self._task = start_loop(self.turn, self._interval, self._random)
+        self._task = start_loop(self.run_once, self._interval, self._random)
 
     async def close(self) -> None:
         """Stop and release the lease, so that another process can take it at once."""
@@ -145,7 +145,7 @@
         """Read the rows in the next run, because a decider's input has changed."""
         self._idle_rounds = 0
 
-    async def turn(self) -> None:
+    async def run_once(self) -> None:
         """Renew or compete for the lease, then write the rows that are due.
 
         Never raises store errors.
@@ -177,13 +177,13 @@
             lease_changed.send(self, held=held, fence=self._lease.fence)
 
     async def _carry_out(self) -> None:
-        if self._keeper.version != self._seen_version:
+        if self._replica.version != self._seen_version:
             self._idle_rounds = 0
         self._idle_rounds -= 1
         if self._idle_rounds > 0:
             return
-        head = await self._keeper.poll()
-        configuration = self._keeper.configuration
+        head = await self._replica.poll()
+        configuration = self._replica.configuration
         if configuration.version != read_version(head):
             return
         fleet = await self._read_fleet()
--- a/packages/mustardquay-node/src/mustardquay_node/editors.py
+++ b/packages/mustardquay-node/src/mustardquay_node/editors.py
@@ -36,7 +36,7 @@
     Write,
 )
 
-from .configurations import ConfigurationKeeper
+from .configurations import ConfigurationReplica
 from .sleeps import Sleep, sleep as default_sleep
 
 __all__ = ["ConfigurationEditor", "EditCheck"]
@@ -46,8 +46,8 @@
 EditCheck = Callable[[Configuration, Edit], Awaitable[object]]
 """Raises `DocumentError` if the edit that leads to this configuration is invalid."""
 
-FIRST_WAIT = timedelta(milliseconds=100)
-LONGEST_WAIT = timedelta(seconds=2)
+MIN_RETRY_DELAY = timedelta(milliseconds=100)
+MAX_RETRY_DELAY = timedelta(seconds=2)
 PRUNE_BATCH = 200
 
 
@@ -56,25 +56,25 @@
 
     def __init__(
         self,
-        keeper: ConfigurationKeeper,
+        replica: ConfigurationReplica,
         tables: TableService,
         objects: ObjectStore,
         clock: Clock,
         random: Random,
         catalogue: Callable[[], Catalogue | None] = lambda: None,
         checks: tuple[EditCheck, ...] = (),
-        patience: timedelta = timedelta(seconds=10),
+        timeout: timedelta = timedelta(seconds=10),
         snapshot_interval: int = 500,
         sleep: Sleep = default_sleep,
     ):
-        self._keeper = keeper
+        self._replica = replica
         self._tables = tables
         self._objects = objects
         self._clock = clock
         self._random = random
         self._catalogue = catalogue
         self._checks = checks
-        self._patience = patience
+        self._timeout = timeout
         self._snapshot_interval = snapshot_interval
         self._sleep = sleep
 
@@ -89,7 +89,7 @@
         known = await self._tables.read(CONFIGURATIONS, CHANGE_PREFIX + edit.change_id)
         if known is not None:
             return read_version(known)
-        deadline = self._clock.monotonic() + self._patience
+        deadline = self._clock.monotonic() + self._timeout
         while True:
             entry, head = await self._prepare(edit)
             result = await self._commit(entry, head, deadline)
@@ -99,7 +99,7 @@
             # head and is still valid if the other amended different items.
             self._check_time(deadline)
         if result.version == entry.version:
-            self._keeper.offer([entry])
+            self._replica.add_entries([entry])
             await self._write_snapshot(entry.version)
         return result.version
 
@@ -108,19 +108,19 @@
 
         Raises the same errors as `propose` if the edit would be refused.
         """
-        await self._keeper.poll()
-        configuration = self._keeper.configuration
+        await self._replica.poll()
+        configuration = self._replica.configuration
         result = check_edit(configuration, edit, self._catalogue())
         found = [await check(result, edit) for check in self._checks]
         return [str(note) for notes in found for note in notes]
 
     async def _prepare(self, edit: Edit) -> tuple[Entry, Row | None]:
-        head = await self._keeper.poll()
-        configuration = self._keeper.configuration
+        head = await self._replica.poll()
+        configuration = self._replica.configuration
         if configuration.version != read_version(head):
             # An entry was received over a link after the head was read.
-            head = await self._keeper.poll()
-            configuration = self._keeper.configuration
+            head = await self._replica.poll()
+            configuration = self._replica.configuration
         result = check_edit(configuration, edit, self._catalogue())
         for check in self._checks:
             await check(result, edit)
@@ -147,7 +147,7 @@
             # The answer was lost, and the write may have been applied. The same
             # transaction is retried: its condition on the change id makes it
             # idempotent, and a conflict shows whether the first copy was applied.
-            delay = draw_delay(self._random, attempt, FIRST_WAIT, LONGEST_WAIT)
+            delay = draw_delay(self._random, attempt, MIN_RETRY_DELAY, MAX_RETRY_DELAY)
             if self._clock.monotonic() + delay >= deadline:
                 raise unclear
             attempt += 1
@@ -169,7 +169,7 @@
             logger.warning("Snapshot %d was not written: %s", version, error)
 
     async def _save(self, version: int) -> None:
-        configuration = self._keeper.configuration
+        configuration = self._replica.configuration
         if configuration.version != version:
             return
         await self._objects.put(
--- a/packages/mustardquay-node/src/mustardquay_node/entries.py
+++ b/packages/mustardquay-node/src/mustardquay_node/entries.py
@@ -19,7 +19,7 @@
 from mustardquay.predictions import OutputLengths
 from mustardquay.revisions import Catalogue, Configuration, Edit
 
-from .admins import AdminParts, AdminServer
+from .admins import AdminDependencies, AdminServer
 from .authorities import Authorities
 from .caller_servers import CallerServer
 from .callers import CallerParts, InFlight
@@ -29,7 +29,7 @@
 from .links import Link
 from .loops import start_loop
 from .node_settings import Settings
-from .nodes import Node, connect_configuration, spread_configuration
+from .nodes import Node, exchange_configuration, subscribe_to_configuration
 from .recorders import Recorder
 from .services import SERVICE_PREFIX
 from .statuses import Probe, ProcessStatus, UpstreamStatus
@@ -56,13 +56,13 @@
         assert settings.entry is not None
         self._settings = settings.entry
         super().__init__(settings, clock, seed, write_event, self._is_reader)
-        parts = self._parts
+        parts = self._deps
         self._draining = False
         self._membership = Membership(settings.link.silence)
         self._known: set[str] = set()
         self._known_adapters: set[str] = set()
         self._editor = ConfigurationEditor(
-            self._keeper,
+            self._replica,
             parts.platform.tables,
             parts.platform.objects,
             parts.clock,
@@ -93,7 +93,7 @@
         )
         self._authorities = Authorities(
             parts,
-            self._keeper,
+            self._replica,
             self._settings.lease_term,
             self._find_instance,
             self._tell_order_changed,
@@ -102,7 +102,9 @@
         self._in_flight = InFlight()
         self._server = self._make_server()
         self._admin = AdminServer(
-            self._make_admin_parts(), settings.node.address, settings.node.admin_port
+            self._make_admin_dependencies(),
+            settings.node.address,
+            settings.node.admin_port,
         )
         self._tasks: list[asyncio.Task[None]] = []
         self._disconnect: Callable[[], None] = lambda: None
@@ -137,7 +139,7 @@
 
     async def start(self) -> None:
         """Begin to link, to follow the configuration and to serve callers."""
-        parts = self._parts
+        parts = self._deps
         self._watch(
             {
                 "running": lambda: self._dispatcher.running,
@@ -146,8 +148,10 @@
         )
         parts.metrics.start()
         await parts.platform.start()
-        self._disconnect = connect_configuration(self._keeper, self._dispatcher.beat)
-        await self._keeper.start()
+        self._disconnect = subscribe_to_configuration(
+            self._replica, self._dispatcher.beat
+        )
+        await self._replica.start()
         self._recorder.start()
         self._authorities.start()
         self._server.start()
@@ -166,16 +170,16 @@
         connection break, and repeats with an idempotency key hear what became of it.
         """
         self._draining = True
-        self._parts.events.record("drain.started")
+        self._deps.events.record("drain.started")
         try:
             async with asyncio.timeout(self._settings.drain_timeout.total_seconds()):
                 await self._in_flight.wait_until_empty()
                 await self._dispatcher.wait_until_empty()
         except TimeoutError:
             left = self._dispatcher.running
-            self._parts.events.record("drain.timed_out", running=left)
+            self._deps.events.record("drain.timed_out", running=left)
             return
-        self._parts.events.record("drain.ended")
+        self._deps.events.record("drain.ended")
 
     async def close(self) -> None:
         """Drain, then stop."""
@@ -192,24 +196,24 @@
         await self._recorder.close()
         await self._server.close()
         self._dispatcher.close()
-        await self._keeper.close()
+        await self._replica.close()
         await self._admin.close()
-        await self._parts.platform.close()
-        self._parts.metrics.close()
+        await self._deps.platform.close()
+        self._deps.metrics.close()
 
     async def read_configuration(self) -> Configuration:
         """Return the newest configuration, for operators."""
         try:
-            await self._keeper.poll()
+            await self._replica.poll()
         except MustardquayError:
-            if not self._keeper.current:
+            if not self._replica.current:
                 raise
-        return self._keeper.configuration
+        return self._replica.configuration
 
     async def apply_edit(self, edit: Edit) -> int:
         """Bring an operator's edit into force and return its version."""
         version = await self._editor.propose(edit)
-        self._parts.events.record(
+        self._deps.events.record(
             "configuration.edited", version=version, author=edit.author
         )
         return version
@@ -221,25 +225,25 @@
     def _make_server(self) -> CallerServer:
         parts = CallerParts(
             settings=self._settings,
-            services=self._parts.settings.services,
-            configurations=self._keeper,
+            services=self._deps.settings.services,
+            configurations=self._replica,
             dispatcher=self._dispatcher,
             recorder=self._recorder,
-            clock=self._parts.clock,
-            events=self._parts.events,
-            metrics=self._parts.metrics,
+            clock=self._deps.clock,
+            events=self._deps.events,
+            metrics=self._deps.metrics,
             lengths=OutputLengths(),
             in_flight=self._in_flight,
             draining=lambda: self._draining,
             streams=set(),
         )
-        address = self._parts.settings.node.address
-        return CallerServer(self._settings, address, parts, self._parts.clock)
+        address = self._deps.settings.node.address
+        return CallerServer(self._settings, address, parts, self._deps.clock)
 
     def _make_heartbeat(self) -> Heartbeat:
         return Heartbeat(
-            version=self._keeper.version,
-            confirmed=self._keeper.current,
+            version=self._replica.version,
+            confirmed=self._replica.current,
             draining=self._draining,
             agents=self._agents,
         )
@@ -252,14 +256,14 @@
 
     def _receive(self, link: Link, message: Message) -> None:
         if isinstance(message, Heartbeat):
-            now = self._parts.clock.monotonic()
+            now = self._deps.clock.monotonic()
             peer = link.peer
             self._membership.note_heartbeat(
                 peer.process, peer.incarnation, message.draining, now
             )
             self._known.update(message.models)
             self._known_adapters.update(message.adapters)
-        spread_configuration(self._keeper, link, message)
+        exchange_configuration(self._replica, link, message)
 
     async def _sweep_claims(self) -> None:
         # A few entries of each availability zone do it, or its reads would grow
@@ -268,9 +272,9 @@
             await self._sweeper.sweep()
 
     def _is_reader(self) -> bool:
-        now = self._parts.clock.monotonic()
+        now = self._deps.clock.monotonic()
         entries = self._membership.list_instances("entry", now)
-        zone = self._parts.identity.availability_zone
+        zone = self._deps.identity.availability_zone
         return self.name in choose_readers(entries, zone)
 
     def _make_catalogue(self) -> Catalogue | None:
@@ -285,7 +289,7 @@
 
     async def _follow_list(self) -> None:
         try:
-            instances = await self._parts.platform.instances.list_instances()
+            instances = await self._deps.platform.instances.list_instances()
         except MustardquayError:
             # Without the list the links stand as they are; heartbeats tell who
             # lives, and who leaves.
@@ -293,7 +297,7 @@
         await self._take_list(instances)
 
     async def _take_list(self, instances: tuple[Instance, ...]) -> None:
-        now = self._parts.clock.monotonic()
+        now = self._deps.clock.monotonic()
         self._membership.update(instances, now)
         agents = self._membership.list_instances("agent", now)
         entries = self._membership.list_instances("entry", now)
@@ -312,17 +316,17 @@
         faults = []
         if self._draining:
             faults.append("The entry drains.")
-        if not self._keeper.current:
+        if not self._replica.current:
             faults.append("The configuration is not confirmed.")
         if not any(view.reachable for view in self._dispatcher.views):
             faults.append("No agent is reached.")
         return tuple(faults)
 
-    def _make_admin_parts(self) -> AdminParts:
-        return AdminParts(
+    def _make_admin_dependencies(self) -> AdminDependencies:
+        return AdminDependencies(
             operator_keys=self._settings.operator_keys,
-            ring=self._parts.events,
-            metrics=self._parts.metrics,
+            ring=self._deps.events,
+            metrics=self._deps.metrics,
             read_status=self._read_status,
             probe_health=lambda: Probe(True),
             probe_readiness=self._probe_readiness,
@@ -330,21 +334,21 @@
         )
 
     def _read_status(self) -> ProcessStatus:
-        node = self._parts.settings.node
+        node = self._deps.settings.node
         faults = self.list_faults()
-        now = self._parts.clock.monotonic()
+        now = self._deps.clock.monotonic()
         return ProcessStatus(
             process=node.name,
             kind=node.kind,
             availability_zone=node.availability_zone,
             region=node.region,
             version=__version__,
-            configuration=self._keeper.version,
-            peers=self._keeper.peer_versions,
+            configuration=self._replica.version,
+            peers=self._replica.peer_versions,
             ready=not faults,
             draining=self._draining,
             faults=faults,
-            incarnation=self._parts.incarnation,
+            incarnation=self._deps.incarnation,
             running=self._dispatcher.running,
             upstreams=tuple(
                 UpstreamStatus.from_view(view, (now - view.reported_at).total_seconds())
--- a/packages/mustardquay-node/src/mustardquay_node/listeners.py
+++ b/packages/mustardquay-node/src/mustardquay_node/listeners.py
@@ -9,7 +9,7 @@
 from mustardquay.messages import Heartbeat, Message
 
 from .links import Link
-from .nodes import NodeParts
+from .nodes import NodeDependencies
 from .runs import Owner
 
 __all__ = ["Listener", "get_owner"]
@@ -30,14 +30,14 @@
 
     def __init__(
         self,
-        parts: NodeParts,
+        deps: NodeDependencies,
         port: int,
         make_heartbeat: Callable[[], Heartbeat],
         on_message: MessageCallback,
         on_lost: Callable[[Link], None],
     ):
         """Set the dependencies; `on_lost` is called with each lost link."""
-        self._parts = parts
+        self._deps = deps
         self._port = port
         self._make_heartbeat = make_heartbeat
         self._on_message = on_message
@@ -61,7 +61,7 @@
 
     async def start(self) -> None:
         """Start listening; raises `OSError` if the port is in use."""
-        address = self._parts.settings.node.address
+        address = self._deps.settings.node.address
         loop = asyncio.get_running_loop()
         self._server = await loop.create_server(self._make_link, address, self._port)
 
@@ -71,7 +71,7 @@
             self._server.close()
         await asyncio.gather(*(link.finish() for link in self))
 
-    def beat(self) -> None:
+    def send_heartbeat(self) -> None:
         """Send a heartbeat on every link at once."""
         for link in self:
             link.beat()
@@ -82,12 +82,12 @@
             link.send(message)
 
     def _make_link(self) -> Link:
-        parts = self._parts
+        deps = self._deps
         return Link(
             "agent",
-            parts.identity,
-            parts.links,
-            parts.events.clock,
+            deps.identity,
+            deps.links,
+            deps.events.clock,
             self._make_link_heartbeat,
             self._note_open,
             self._on_message,
@@ -95,8 +95,8 @@
         )
 
     def _make_link_heartbeat(self, link: Link) -> Heartbeat:
-        crashes, self._links[link] = self._parts.quarantine.list_changes(
-            self._links.get(link, 0), self._parts.clock.monotonic()
+        crashes, self._links[link] = self._deps.quarantine.list_changes(
+            self._links.get(link, 0), self._deps.clock.monotonic()
         )
         return replace(self._make_heartbeat(), crashes=crashes)
 
@@ -113,7 +113,7 @@
             if other is not link and other.is_open and get_owner(other) == owner:
                 other.close("the entry has opened a newer link")
         self._links.setdefault(link, 0)
-        self._parts.events.record("link.opened", peer=link.peer.process)
+        self._deps.events.record("link.opened", peer=link.peer.process)
 
     def _note_newest(self, owner: Owner, number: int) -> None:
         self._newest[owner] = number
@@ -124,5 +124,5 @@
     def _note_lost(self, link: Link, reason: str) -> None:
         if self._links.pop(link, None) is None:
             return
-        self._parts.events.record("link.lost", peer=link.peer.process, reason=reason)
+        self._deps.events.record("link.lost", peer=link.peer.process, reason=reason)
         self._on_lost(link)
--- a/packages/mustardquay-node/src/mustardquay_node/nodes.py
+++ b/packages/mustardquay-node/src/mustardquay_node/nodes.py
@@ -17,7 +17,7 @@
 )
 from mustardquay.quarantines import Quarantine
 
-from .configurations import ConfigurationKeeper, configuration_changed
+from .configurations import ConfigurationReplica, configuration_changed
 from .links import Identity, Link, LinkOptions
 from .metrics import NodeMetrics
 from .node_settings import Settings
@@ -27,10 +27,10 @@
 
 __all__ = [
     "Node",
-    "NodeParts",
+    "NodeDependencies",
     "Platform",
-    "connect_configuration",
-    "spread_configuration",
+    "subscribe_to_configuration",
+    "exchange_configuration",
 ]
 
 ENTRY_PROBE_WAIT = timedelta(seconds=2)
@@ -74,8 +74,8 @@
             await client.close()
 
 
-class NodeParts:
-    """The parts that each process has, whatever its kind."""
+class NodeDependencies:
+    """The objects that every process has, whatever its kind."""
 
     def __init__(
         self,
@@ -119,31 +119,31 @@
         is_reader: Callable[[], bool],
     ):
         """Set up the process; `is_reader` returns whether it polls the head row."""
-        parts = NodeParts(settings, clock, seed, write_event)
-        self._parts = parts
-        self._keeper = ConfigurationKeeper(
-            parts.platform.tables, parts.platform.objects, parts.random, is_reader
+        deps = NodeDependencies(settings, clock, seed, write_event)
+        self._deps = deps
+        self._replica = ConfigurationReplica(
+            deps.platform.tables, deps.platform.objects, deps.random, is_reader
         )
 
     @property
     def name(self) -> str:
         """Return the name of the process."""
-        return self._parts.identity.process
+        return self._deps.identity.process
 
     @property
     def availability_zone(self) -> str:
         """Return the availability zone of the process."""
-        return self._parts.identity.availability_zone
+        return self._deps.identity.availability_zone
 
     @property
     def version(self) -> int:
         """Return the configuration version in force in this process."""
-        return self._keeper.version
+        return self._replica.version
 
     @property
     def events(self) -> EventRing:
         """Return the ring buffer of this process's events."""
-        return self._parts.events
+        return self._deps.events
 
     @property
     def is_ready(self) -> bool:
@@ -157,47 +157,47 @@
     def _watch(self, gauges: Mapping[str, Callable[[], float]]) -> None:
         """Export gauges, named without their prefix, and those common to all nodes."""
         common = {
-            "configuration.version": lambda: self._keeper.version,
+            "configuration.version": lambda: self._replica.version,
             "ready": lambda: float(self.is_ready),
         }
         for name, read in (common | dict(gauges)).items():
-            self._parts.metrics.watch(f"mustardquay.{name}", read)
+            self._deps.metrics.watch(f"mustardquay.{name}", read)
 
     def _probe_readiness(self) -> Probe:
         faults = self.list_faults()
         return Probe(not faults, faults)
 
 
-def spread_configuration(keeper: ConfigurationKeeper, link: Link, message: Message):
+def exchange_configuration(replica: ConfigurationReplica, link: Link, message: Message):
     """Exchange configuration log entries over a link.
 
     A heartbeat with a higher version triggers a request for the missing entries. If
     the answer contains only part of them, the next part is requested.
     """
     if isinstance(message, Heartbeat):
-        keeper.hear(link.peer.process, message.version, message.confirmed)
-        if message.version > keeper.version:
-            link.send(ConfigurationWanted(keeper.version))
+        replica.note_peer_version(link.peer.process, message.version, message.confirmed)
+        if message.version > replica.version:
+            link.send(ConfigurationWanted(replica.version))
     elif isinstance(message, ConfigurationWanted):
-        link.send(ConfigurationEntries(tuple(keeper.list_items(message.after))))
+        link.send(ConfigurationEntries(tuple(replica.list_items(message.after))))
     elif isinstance(message, ConfigurationEntries):
-        before = keeper.version
+        before = replica.version
         try:
-            keeper.offer_items(message.entries)
+            replica.add_items(message.entries)
         except ProtocolError as error:
             link.close(str(error))
             return
-        if before < keeper.version and keeper.wanted_after is not None:
-            link.send(ConfigurationWanted(keeper.version))
+        if before < replica.version and replica.missing_after is not None:
+            link.send(ConfigurationWanted(replica.version))
 
 
-def connect_configuration(
-    keeper: ConfigurationKeeper, changed: Callable[[], None]
+def subscribe_to_configuration(
+    replica: ConfigurationReplica, changed: Callable[[], None]
 ) -> Callable[[], None]:
     """Call `changed` on each new version; return a function that unsubscribes."""
 
-    def receive(sender: ConfigurationKeeper, **details: object) -> None:
+    def receive(sender: ConfigurationReplica, **details: object) -> None:
         changed()
 
-    configuration_changed.connect(receive, sender=keeper)
-    return lambda: configuration_changed.disconnect(receive, sender=keeper)
+    configuration_changed.connect(receive, sender=replica)
+    return lambda: configuration_changed.disconnect(receive, sender=replica)
--- a/packages/mustardquay-node/src/mustardquay_node/reconcilers.py
+++ b/packages/mustardquay-node/src/mustardquay_node/reconcilers.py
@@ -120,7 +120,7 @@
     async def start(self) -> None:
         """Start reconciling."""
         await self._engine.start()
-        self._task = start_loop(self.turn, self._interval, self._random)
+        self._task = start_loop(self.run_once, self._interval, self._random)
 
     async def close(self) -> None:
         """Stop; the engine completes an order in progress."""
@@ -134,7 +134,7 @@
         """Read the order row in the next run, after a notice that it has changed."""
         self._poll_at = timedelta.min
 
-    async def turn(self) -> None:
+    async def run_once(self) -> None:
         """Observe the engine and execute the steps due; never raises store errors."""
         await self._observe()
         try:
--- a/packages/mustardquay-node/src/mustardquay_node/releases.py
+++ b/packages/mustardquay-node/src/mustardquay_node/releases.py
@@ -55,7 +55,7 @@
     def _find(self, configuration: Configuration, model: str) -> Release:
         release = configuration.releases.get(model)
         if release is None:
-            raise self.fault(
+            raise self.make_error(
                 404, f"There is no release of {model}; list them or announce one."
             )
         return release
--- a/packages/mustardquay-node/src/mustardquay_node/stores.py
+++ b/packages/mustardquay-node/src/mustardquay_node/stores.py
@@ -34,8 +34,8 @@
     "StoreLimits",
 ]
 
-FIRST_RETRY = timedelta(milliseconds=50)
-LONGEST_RETRY = timedelta(seconds=1)
+MIN_RETRY_DELAY = timedelta(milliseconds=50)
+MAX_RETRY_DELAY = timedelta(seconds=1)
 CONNECTIONS = 32
 
 
@@ -132,7 +132,9 @@
             try:
                 return await self._try_once(call, deadline)
             except StoreUnavailable as error:
-                delay = draw_delay(self._random, attempt, FIRST_RETRY, LONGEST_RETRY)
+                delay = draw_delay(
+                    self._random, attempt, MIN_RETRY_DELAY, MAX_RETRY_DELAY
+                )
                 if isinstance(error, _Throttled):
                     delay += error.retry_after
                 if self._clock.monotonic() + delay >= limit + call.meter.lost:
--- a/packages/mustardquay-node/src/mustardquay_node/reports.py
+++ b/packages/mustardquay-node/src/mustardquay_node/upstream_pollers.py
@@ -1,4 +1,4 @@
-"""Reports: periodic polling of the state and load of an agent's upstream."""
+"""Upstream pollers: periodic polling of the state and load of an agent's upstream."""
 
 import asyncio
 from collections.abc import Callable
@@ -15,7 +15,7 @@
 from .loops import start_loop
 from .upstreams import CallResult, UpstreamCall, UpstreamClient
 
-__all__ = ["Reporter", "UpstreamReport"]
+__all__ = ["UpstreamPoller", "UpstreamReport"]
 
 TIMEOUT = timedelta(seconds=2)
 
@@ -50,7 +50,7 @@
         )
 
 
-class Reporter:
+class UpstreamPoller:
     """Polls one upstream for its state and load."""
 
     def __init__(
@@ -78,7 +78,7 @@
 
     def start(self) -> None:
         """Start polling."""
-        self._task = start_loop(self.ask, self._interval)
+        self._task = start_loop(self.poll, self._interval)
 
     async def close(self) -> None:
         """Stop polling."""
@@ -93,17 +93,17 @@
         Calls that failed at the same time share one probe.
         """
         if self._probing is None or self._probing.done():
-            self._probing = asyncio.ensure_future(self._ask_boot())
+            self._probing = asyncio.ensure_future(self._poll_boot())
         return self._probing
 
-    async def ask(self) -> None:
+    async def poll(self) -> None:
         """Poll now, over a new connection."""
         before = self._report
         self._report = await self._read_report()
         self._on_report(before, self._report)
 
-    async def _ask_boot(self) -> str:
-        await self.ask()
+    async def _poll_boot(self) -> str:
+        await self.poll()
         return self._report.boot
 
     async def _read_report(self) -> UpstreamReport:
--- a/packages/mustardquay-node/tests/test_admins.py
+++ b/packages/mustardquay-node/tests/test_admins.py
@@ -7,7 +7,7 @@
 from mustardquay import EventRing, HybridClock, VirtualClock
 from mustardquay.errors import StoreResultUnknown, StoreUnavailable
 from mustardquay.revisions import Configuration, Edit, Entry, apply_entry, check_edit
-from mustardquay_node.admins import AdminParts, AdminServer
+from mustardquay_node.admins import AdminDependencies, AdminServer
 from mustardquay_node.metrics import NodeMetrics
 from mustardquay_node.statuses import Probe, ProcessStatus
 
@@ -44,7 +44,7 @@
         self.ring = EventRing("entry-1", HybridClock(VirtualClock()))
         self.metrics = NodeMetrics("entry-1", "entry", "linz")
         self.readiness = Probe(True)
-        parts = AdminParts(
+        deps = AdminDependencies(
             operator_keys=("other-key", KEY),
             ring=self.ring,
             metrics=self.metrics,
@@ -55,7 +55,7 @@
             probe_readiness=lambda: self.readiness,
             actions=self.actions if with_actions else None,
         )
-        self.server = AdminServer(parts, "127.0.0.1", 0)
+        self.server = AdminServer(deps, "127.0.0.1", 0)
 
     async def ask(
         self, method: str, path: str, body: object = None, key: str = KEY
--- a/packages/mustardquay-node/tests/test_configurations.py
+++ b/packages/mustardquay-node/tests/test_configurations.py
@@ -15,17 +15,17 @@
     StoreUnavailable,
 )
 from mustardquay.revisions import ContractAmendment, Edit
-from mustardquay_node.configurations import ConfigurationKeeper, configuration_changed
+from mustardquay_node.configurations import ConfigurationReplica, configuration_changed
 from mustardquay_node.editors import ConfigurationEditor
 from mustardquay_standins.stores import LocalObjects, LocalTables
 
 
 class Process:
-    """A process with its keeper and editor on a shared store."""
+    """A process with its configuration replica and editor on a shared store."""
 
     def __init__(self, tables, objects, clock, seed=0, **options):
         self.store = LocalTables(tables)
-        self.keeper = ConfigurationKeeper(
+        self.replica = ConfigurationReplica(
             self.store, objects, Random(seed), lambda: True
         )
 
@@ -33,7 +33,7 @@
             clock.advance(duration)
 
         self.editor = ConfigurationEditor(
-            self.keeper,
+            self.replica,
             self.store,
             objects,
             clock,
@@ -68,11 +68,11 @@
     def note(sender, configuration):
         seen.append(configuration.version)
 
-    with configuration_changed.connected_to(note, sender=second.keeper):
+    with configuration_changed.connected_to(note, sender=second.replica):
         assert await first.editor.propose(make_edit("a")) == 1
-        await second.keeper.poll()
-    assert seen == [1] and second.keeper.current
-    assert second.keeper.configuration.find_contract("hash-radio").revision == 1
+        await second.replica.poll()
+    assert seen == [1] and second.replica.current
+    assert second.replica.configuration.find_contract("hash-radio").revision == 1
 
 
 @pytest.mark.fault
@@ -97,7 +97,7 @@
 @pytest.mark.fault
 async def test_an_edit_that_stays_unclear_can_be_sent_again(make_process):
     """The store goes down just after it has lost the answer."""
-    process = make_process(patience=timedelta(seconds=3))
+    process = make_process(timeout=timedelta(seconds=3))
     process.store.lose_answers = 1000
     with pytest.raises(StoreResultUnknown):
         await process.editor.propose(make_edit("a"))
@@ -114,18 +114,18 @@
     """
     first, second = make_process(1), make_process(2)
     await first.editor.propose(make_edit("base"))
-    poll = second.keeper.poll
+    poll = second.replica.poll
 
     async def poll_then_lose_the_race():
         head = await poll()
-        second.keeper.poll = poll
+        second.replica.poll = poll
         await first.editor.propose(make_edit("winner", revision=1, share=0.2))
         return head
 
-    second.keeper.poll = poll_then_lose_the_race
+    second.replica.poll = poll_then_lose_the_race
     with pytest.raises(ConflictError, match="revision 2"):
         await second.editor.propose(make_edit("loser", revision=1, share=0.3))
-    assert second.keeper.configuration.contracts["radio"].share == 0.2
+    assert second.replica.configuration.contracts["radio"].share == 0.2
     assert second.store.tables.read(CONFIGURATIONS, CHANGE_PREFIX + "loser") is None
     merged = make_edit("merged", revision=2, share=0.3)
     assert await second.editor.propose(merged) == 3
@@ -133,7 +133,7 @@
 
 async def test_a_race_about_other_items_is_not_a_conflict(make_process):
     first, second = make_process(1), make_process(2)
-    await first.keeper.poll()
+    await first.replica.poll()
     await second.editor.propose(make_edit("a"))
     assert await first.editor.propose(make_edit("b", "tram")) == 2
 
@@ -146,8 +146,8 @@
     with pytest.raises(StoreUnavailable):
         await process.editor.propose(make_edit("b"))
     process.store.down = False
-    await process.keeper.poll()
-    assert process.keeper.version == 0
+    await process.replica.poll()
+    assert process.replica.version == 0
 
 
 @pytest.mark.fault
@@ -164,23 +164,23 @@
         await old.editor.propose(make_edit(str(number), f"customer-{number}"))
     fresh.store.down = True
     with pytest.raises(StoreUnavailable):
-        await fresh.keeper.poll()
-    fresh.keeper.hear("unconfirmed", 0, False)
-    assert not fresh.keeper.current
-    fresh.keeper.hear("old", 3, True)
-    assert not fresh.keeper.current and fresh.keeper.wanted_after == 0
-    fresh.keeper.offer_items(old.keeper.list_items(0))
-    assert fresh.keeper.current and fresh.keeper.version == 3
+        await fresh.replica.poll()
+    fresh.replica.note_peer_version("unconfirmed", 0, False)
+    assert not fresh.replica.current
+    fresh.replica.note_peer_version("old", 3, True)
+    assert not fresh.replica.current and fresh.replica.missing_after == 0
+    fresh.replica.add_items(old.replica.list_items(0))
+    assert fresh.replica.current and fresh.replica.version == 3
 
 
 async def test_the_word_of_peers_does_not_count_while_the_store_answers(make_process):
     """A peer that is itself cut off from the store would make it current too soon."""
     writer, fresh = make_process(), make_process()
     await writer.editor.propose(make_edit("a"))
-    fresh.keeper.hear("cut-off", 0, True)
-    assert not fresh.keeper.current
-    await fresh.keeper.poll()
-    assert fresh.keeper.current and fresh.keeper.version == 1
+    fresh.replica.note_peer_version("cut-off", 0, True)
+    assert not fresh.replica.current
+    await fresh.replica.poll()
+    assert fresh.replica.current and fresh.replica.version == 1
 
 
 @pytest.mark.fault
@@ -192,12 +192,12 @@
     """
     process = make_process()
     await process.editor.propose(make_edit("a"))
-    before = process.keeper.configuration
+    before = process.replica.configuration
     process.store.down = True
     for _ in range(1800):
         with pytest.raises(StoreUnavailable):
-            await process.keeper.poll()
-    assert process.keeper.configuration is before and process.keeper.current
+            await process.replica.poll()
+    assert process.replica.configuration is before and process.replica.current
     process.store.down = False
     assert await process.editor.propose(make_edit("b", "tram")) == 2
 
@@ -209,20 +209,20 @@
     writer = Process(tables, objects, clock)
     for number in range(12):
         await writer.editor.propose(make_edit(str(number), f"customer-{number}", 0, 0))
-    items = list(writer.keeper.list_items(0))
+    items = list(writer.replica.list_items(0))
     reader = Process(tables, objects, clock, seed=1)
     versions = [0]
     order = st.lists(st.integers(0, len(items) - 1), max_size=30)
     for position in data.draw(order):
-        reader.keeper.offer_items([items[position]])
-        reader.keeper.hear("peer", position, True)
-        versions.append(reader.keeper.version)
+        reader.replica.add_items([items[position]])
+        reader.replica.note_peer_version("peer", position, True)
+        versions.append(reader.replica.version)
     assert versions == sorted(versions)
-    wanted = reader.keeper.wanted_after
+    wanted = reader.replica.missing_after
     if wanted is not None:
-        reader.keeper.offer_items(writer.keeper.list_items(wanted))
-    await reader.keeper.poll()
-    assert reader.keeper.configuration == writer.keeper.configuration
+        reader.replica.add_items(writer.replica.list_items(wanted))
+    await reader.replica.poll()
+    assert reader.replica.configuration == writer.replica.configuration
 
 
 async def test_a_process_far_behind_catches_up_from_a_snapshot(make_process):
@@ -234,8 +234,8 @@
     assert kept[0].key == build_entry_key(16)
     assert writer.store.tables.read(CONFIGURATIONS, CHANGE_PREFIX + "3") is None
     late, later = make_process(), make_process()
-    await late.keeper.poll()
-    assert late.keeper.configuration == writer.keeper.configuration
-    (snapshot, *_) = late.keeper.list_items(2)
-    later.keeper.offer_items([snapshot])
-    assert later.keeper.configuration == writer.keeper.configuration
+    await late.replica.poll()
+    assert late.replica.configuration == writer.replica.configuration
+    (snapshot, *_) = late.replica.list_items(2)
+    later.replica.add_items([snapshot])
+    assert later.replica.configuration == writer.replica.configuration
--- a/packages/mustardquay-node/tests/test_controls.py
+++ b/packages/mustardquay-node/tests/test_controls.py
@@ -11,7 +11,7 @@
 from mustardquay.leases import LEASES
 from mustardquay.orders import ENGINE_CLAIMS, ORDERS, Desired
 from mustardquay.plans import Action, PlannedChange, Release, Scope
-from mustardquay_standins.fleets import Fleet, StaticKeeper
+from mustardquay_standins.fleets import Fleet, StaticReplica
 
 ZONE = "linz"
 OLD = Desired(Role.MIXED, {"m": "1"})
@@ -142,7 +142,7 @@
     transact = holder.store.transact
     held_back = hold_back_orders(holder)
     fleet.configure(2, releases=[NEW])
-    await holder.turn()
+    await holder.run_once()
     assert held_back and holder.held
     fleet.configure(3)
     await fleet.run(30, [other])
@@ -165,7 +165,7 @@
     transact = holder.store.transact
     held_back = hold_back_orders(holder)
     fleet.configure(2, releases=[NEW])
-    await holder.turn()
+    await holder.run_once()
     holder.store.transact = transact
     await fleet.run(60)
     (transaction,) = held_back
@@ -202,9 +202,9 @@
     fleet.agents[name] = fleet.make_agent(name, 2)
     await fleet.run(2)
     assert not fleet.agents[name].ready
-    await before.turn()
+    await before.run_once()
     await fleet.run(300)
-    await before.turn()
+    await before.run_once()
     assert fleet.agents[name].incarnation == before.incarnation + 1
     assert fleet.list_versions() == ["2"] * 4 and fleet.count_ready() == 4
     assert fleet.count_conflicts() == 0
@@ -214,7 +214,7 @@
 async def test_an_engine_back_in_an_unknown_state_is_mended(fleet):
     """Callers would get answers of whatever the engine happens to have loaded."""
     fleet.engines["runner-1"].crash(Desired(Role.MIXED, {"m": "0"}))
-    await fleet.agents["runner-1"].turn()
+    await fleet.agents["runner-1"].run_once()
     assert not fleet.agents["runner-1"].ready
     await fleet.run(30)
     assert fleet.count_ready() == 4
@@ -275,12 +275,12 @@
     not pass if the head has moved since.
     """
     drain = PlannedChange("d", Action.DRAIN, Scope.UPSTREAM, "runner-2")
-    before = fleet.keeper.configuration
+    before = fleet.replica.configuration
     fleet.configure(2, changes=[drain])
     await fleet.run(10)
-    old = StaticKeeper(fleet.tables)
+    old = StaticReplica(fleet.tables)
     old.configuration = before
-    fleet.keeper = old
+    fleet.replica = old
     fresh = fleet.make_entry(9)
     await fleet.run(60, [fresh])
     assert fresh.held and fleet.agents["runner-2"].draining
@@ -293,5 +293,5 @@
 async def test_a_holder_that_stops_hands_over_at_once(fleet):
     holder, other = fleet.entries if fleet.entries[0].held else fleet.entries[::-1]
     await holder.close()
-    await other.turn()
+    await other.run_once()
     assert other.held
--- a/packages/mustardquay-node/tests/test_engine_controls.py
+++ b/packages/mustardquay-node/tests/test_engine_controls.py
@@ -11,7 +11,7 @@
 from mustardquay.orders import Desired, Order
 from mustardquay.plans import Release
 from mustardquay.revisions import Edit, ReleaseAmendment
-from mustardquay_node.configurations import ConfigurationKeeper
+from mustardquay_node.configurations import ConfigurationReplica
 from mustardquay_node.controllers import Controller
 from mustardquay_node.editors import ConfigurationEditor
 from mustardquay_node.engines import HttpEngine
@@ -47,15 +47,17 @@
         await self.engine.start()
         store = await self.make_store()
         self.objects = LocalObjects()
-        self.keeper = ConfigurationKeeper(store, self.objects, Random(1), lambda: True)
+        self.replica = ConfigurationReplica(
+            store, self.objects, Random(1), lambda: True
+        )
         self.editor = ConfigurationEditor(
-            self.keeper, store, self.objects, self.clock, Random(1)
+            self.replica, store, self.objects, self.clock, Random(1)
         )
         self.entry = Controller(
             ZONE,
             "entry-1",
             store,
-            self.keeper,
+            self.replica,
             self.clock,
             Random(1),
         )
@@ -97,8 +99,8 @@
         return agent
 
     async def apply_release(self, version):
-        await self.keeper.poll()
-        present = self.keeper.configuration.releases.get("m")
+        await self.replica.poll()
+        present = self.replica.configuration.releases.get("m")
         revision = present.revision if present else 0
         release = Release("m", version, accept_overload=True)
         amendment = ReleaseAmendment("m", revision, release)
@@ -106,8 +108,8 @@
 
     async def run_until(self, agent, condition):
         for _ in range(TURNS):
-            await self.entry.turn()
-            await agent.turn()
+            await self.entry.run_once()
+            await agent.run_once()
             self.clock.advance(timedelta(seconds=1))
             if condition():
                 return
@@ -184,7 +186,7 @@
     await loading.wait()
     second = await site.make_agent(2)
     for _ in range(60):
-        await second.turn()
+        await second.run_once()
         site.clock.advance(timedelta(seconds=1))
     assert second.state.changing and not second.ready
     go_on.set()
@@ -193,7 +195,7 @@
     await site.apply_release("3")
     await site.run_until(second, lambda: second.row.desired.models == {"m": "3"})
     for _ in range(20):
-        await first.turn()
+        await first.run_once()
         site.clock.advance(timedelta(seconds=1))
     assert first.superseded and not first.ready
     await site.run_until(second, lambda: second.ready)
@@ -219,7 +221,7 @@
     await loading.wait()
     site.engine.orders._load_weights = load
     await site.engine.crash()
-    await agent.turn()
+    await agent.run_once()
     assert not agent.ready
     await site.run_until(agent, lambda: agent.ready)
     assert site.engine.orders.substance.models == {"m": "2"}
--- a/packages/mustardquay-standins/src/mustardquay_standins/fleets.py
+++ b/packages/mustardquay-standins/src/mustardquay_standins/fleets.py
@@ -20,7 +20,7 @@
 from .stores import LocalEngine, LocalTables
 from .tables import Tables
 
-__all__ = ["Fleet", "StaticKeeper"]
+__all__ = ["Fleet", "StaticReplica"]
 
 SECOND = timedelta(seconds=1)
 LONGEST_ORDER = timedelta(seconds=30)
@@ -28,7 +28,7 @@
 MODEL = "m"
 
 
-class StaticKeeper:
+class StaticReplica:
     """Has a configuration that is set from outside, and its head row."""
 
     def __init__(self, tables: Tables):
@@ -63,7 +63,7 @@
     ):
         self.clock = VirtualClock()
         self.tables = Tables()
-        self.keeper = StaticKeeper(self.tables)
+        self.replica = StaticReplica(self.tables)
         self.zones = {f"runner-{n}": zones[n % len(zones)] for n in range(size)}
         self.names = list(self.zones)
         self.busy: set[str] = set()
@@ -97,7 +97,7 @@
             {release.model: release for release in releases},
             {"hash": "radio"},
         )
-        self.keeper.put(configuration)
+        self.replica.put(configuration)
 
     def make_agent(self, name: str, number: int) -> Reconciler:
         """Return an agent for an engine; its store's switches are `agent.store`."""
@@ -124,7 +124,7 @@
             zone,
             f"entry-{zone}-{number}",
             store,
-            self.keeper,
+            self.replica,
             self.clock,
             Random(number),
             term=TERM,
@@ -136,9 +136,9 @@
         """Let everybody, or of the entries just some, take a turn each second."""
         for _ in range(seconds):
             for entry in self.entries if entries is None else entries:
-                await entry.turn()
+                await entry.run_once()
             for agent in self.agents.values():
-                await agent.turn()
+                await agent.run_once()
             self.lowest = min(self.lowest, self.count_ready())
             self.clock.advance(SECOND)
 
