--- a/packages/mustardquay-node/src/mustardquay_node/admin_handlers.py
+++ b/packages/mustardquay-node/src/mustardquay_node/admin_handlers.py
@@ -99,7 +99,7 @@
             return f"{self.request.method} is not possible here; see the docs."
         if status == 400:
             return "The request is malformed; see the docs."
-        return "An internal error occurred; see this process's log."
+        return "An internal fault; see this process's log."
 
 
 class AdminHandler(BaseHandler):
--- a/packages/mustardquay-node/src/mustardquay_node/agents.py
+++ b/packages/mustardquay-node/src/mustardquay_node/agents.py
@@ -334,17 +334,17 @@
         """Return the reasons why this process is not ready, one sentence each."""
         faults = []
         if self._executor.draining:
-            faults.append("The agent is draining.")
+            faults.append("The agent drains.")
         if not self._poller.report.reachable:
             faults.append("The upstream does not answer.")
         if self._poller.report.changing:
-            faults.append("The upstream is executing an order.")
+            faults.append("The upstream carries out an order.")
         if not self._replica.current:
             faults.append("The configuration is not confirmed.")
         if self._reconciler.superseded:
             faults.append("Another agent has claimed the upstream; stop this one.")
         elif not self._reconciler.ready:
-            faults.append("The upstream does not match its order.")
+            faults.append("The upstream is not in the state of its order.")
         return tuple(faults)
 
     def _make_admin_dependencies(self) -> AdminDependencies:
--- a/packages/mustardquay-node/src/mustardquay_node/executors.py
+++ b/packages/mustardquay-node/src/mustardquay_node/executors.py
@@ -166,7 +166,7 @@
             # The attempt's frame can't arrive any more: it was sent on an older link,
             # and this agent no longer reads from those. The record is kept as a
             # tombstone nevertheless.
-            message = "The attempt was never received and will not be run."
+            message = "The attempt never came, and will not be run."
             run.end_refused(Refusal(Reason.TOMBSTONE, message), now)
         self._table.note_end(run)
 
@@ -265,7 +265,7 @@
             await self._empty.wait()
 
     async def close(self) -> None:
-        """Stop everything at once; running attempts are lost unless it was drained."""
+        """Stop everything at once; running attempts are lost, so drain first."""
         for task in list(self._tasks):
             task.cancel()
         await asyncio.gather(*self._tasks, return_exceptions=True)
@@ -329,19 +329,19 @@
 
     async def _execute(self, execution: Execution) -> None:
         fresh = not execution.run.attempt.repeatable
-        end = await self._client.run(execution.call, fresh)
-        await self._handle_result(execution, end)
+        result = await self._client.run(execution.call, fresh)
+        await self._handle_result(execution, result)
 
-    async def _handle_result(self, execution: Execution, end: CallResult) -> None:
+    async def _handle_result(self, execution: Execution, result: CallResult) -> None:
         run = execution.run
-        if end is CallResult.NOT_SENT:
+        if result is CallResult.NOT_SENT:
             message = "The upstream takes no connection; ask again later."
             refusal = Refusal(Reason.NO_UPSTREAM, message, RETRY_AFTER)
             self._refuse(run, refusal)
-        elif end is CallResult.COMPLETE and execution.has_engine_error:
+        elif result is CallResult.COMPLETE and execution.has_engine_error:
             message = f"The engine answered with status {execution.status}."
             self._fail(run, FailureKind.ERROR, message)
-        elif end is CallResult.COMPLETE and execution.has_end_mark:
+        elif result is CallResult.COMPLETE and execution.has_end_mark:
             now = self._clock.monotonic()
             self._quarantine.note_answer(run.attempt.fingerprint, now)
             run.end_complete(now)
