--- a/packages/mustardquay-node/tests/test_admins.py
+++ b/packages/mustardquay-node/tests/test_admins.py
@@ -57,7 +57,7 @@
         )
         self.server = AdminServer(deps, "127.0.0.1", 0)
 
-    async def ask(
+    async def request(
         self, method: str, path: str, body: object = None, key: str = KEY
     ) -> HTTPResponse:
         return await AsyncHTTPClient().fetch(
@@ -70,7 +70,7 @@
         )
 
     async def read(self, method: str, path: str, body: object = None) -> tuple:
-        response = await self.ask(method, path, body)
+        response = await self.request(method, path, body)
         return response.code, json.loads(response.body)
 
 
@@ -87,36 +87,36 @@
 @pytest.mark.parametrize("key", ["", "wrong", KEY[:-1], KEY + "x", "ü"])
 async def test_admin_paths_need_an_operators_key(admin, key):
     for path in ("/admin/status", "/admin/events", "/admin/contracts"):
-        response = await admin.ask("GET", path, key=key)
+        response = await admin.request("GET", path, key=key)
         assert response.code == 401
         assert "Authorization" in json.loads(response.body)["error"]
-    assert (await admin.ask("PUT", "/admin/contracts/a", CONTRACT, key)).code == 401
+    assert (await admin.request("PUT", "/admin/contracts/a", CONTRACT, key)).code == 401
     assert admin.actions.edits == []
 
 
-async def test_probes_tell_what_is_wrong_and_need_no_key(admin):
+async def test_probes_return_the_faults_and_need_no_key(admin):
     admin.readiness = Probe(False, ("No configuration is confirmed.",))
-    response = await admin.ask("GET", "/readyz", key="")
+    response = await admin.request("GET", "/readyz", key="")
     assert response.code == 503
     assert json.loads(response.body) == {
         "good": False,
         "faults": ["No configuration is confirmed."],
     }
-    assert (await admin.ask("GET", "/healthz", key="")).code == 200
+    assert (await admin.request("GET", "/healthz", key="")).code == 200
 
 
 async def test_metrics_are_those_of_the_process_alone(admin):
     other = NodeMetrics("entry-2", "entry", "linz")
     other.start()
     other.count_retry("crash")
-    page = (await admin.ask("GET", "/metrics", key="")).body.decode()
+    page = (await admin.request("GET", "/metrics", key="")).body.decode()
     assert 'service_instance_id="entry-1"' in page
     assert 'cause="crash"' not in page
     assert 'mustardquay_cause="crash"' in other.render().decode()
     other.close()
 
 
-async def test_contract_is_applied_shown_and_amended_without_plain_keys(admin):
+async def test_contract_is_applied_read_and_amended_without_plain_keys(admin):
     assert await admin.read("PUT", "/admin/contracts/radio-linz", CONTRACT) == (
         200,
         (await admin.read("GET", "/admin/contracts/radio-linz"))[1],
@@ -136,10 +136,9 @@
     assert "caller-key" not in repr(admin.actions)
 
 
-async def test_a_lost_race_is_shown_with_the_revision_that_won(admin):
-    # Two operators show the same contract and both amend it. The first wins; the
-    # second would silently undo the first's edit if the revision that each names
-    # were not compared.
+async def test_a_conflict_is_answered_with_the_current_revision(admin):
+    # Two operators read the same contract and both amend it. Without a comparison of
+    # the revisions, the second edit would silently overwrite the first.
     await admin.read("PUT", "/admin/contracts/radio-linz", CONTRACT)
     first = CONTRACT | {"revision": 1, "share": 0.5}
     assert (await admin.read("PUT", "/admin/contracts/radio-linz", first))[0] == 200
@@ -152,7 +151,7 @@
     assert conflict["present"]["share"] == 0.5
 
 
-async def test_several_contracts_are_applied_together_or_not_at_all(admin):
+async def test_several_contracts_are_applied_atomically(admin):
     other = {"customer": "tram-app", "keys": ["caller-key-9"], "share": 0.9}
     code, body = await admin.read(
         "POST", "/admin/contracts", {"contracts": [CONTRACT, other]}
@@ -169,7 +168,7 @@
     assert page["next"] == "radio-linz"
     code, page = await admin.read("GET", "/admin/contracts?after=radio-linz")
     assert [item["customer"] for item in page["contracts"]] == ["tram-app"]
-    assert (await admin.ask("DELETE", "/admin/contracts/tram-app")).code == 409
+    assert (await admin.request("DELETE", "/admin/contracts/tram-app")).code == 409
     code, body = await admin.read("DELETE", "/admin/contracts/tram-app?revision=1")
     assert (code, body["version"]) == (200, 2)
 
@@ -184,9 +183,9 @@
     assert (await admin.read("GET", "/admin/changes"))[1]["changes"] == [body]
     for path in ("/admin/changes", "/admin/changes?preview=1"):
         assert (await admin.read("POST", path, change))[0] == 409
-    assert (await admin.ask("DELETE", "/admin/changes/swap?revision=9")).code == 409
-    assert (await admin.ask("DELETE", "/admin/changes/swap")).code == 200
-    assert (await admin.ask("DELETE", "/admin/changes/swap")).code == 404
+    assert (await admin.request("DELETE", "/admin/changes/swap?revision=9")).code == 409
+    assert (await admin.request("DELETE", "/admin/changes/swap")).code == 200
+    assert (await admin.request("DELETE", "/admin/changes/swap")).code == 404
 
 
 @pytest.mark.parametrize(
@@ -219,9 +218,9 @@
         (RuntimeError("secret detail"), 500),
     ],
 )
-async def test_faults_of_the_store_are_told_apart(admin, error, code):
-    # The store's answer to an edit is lost: the operator must hear that the edit
-    # may be in force, not that it failed, and never see how the program is built.
+async def test_store_errors_have_distinct_statuses(admin, error, code):
+    # If the store's answer to an edit is lost, the error must say that the edit may be
+    # in force, not that it failed. Internal details must never be in the response.
     admin.actions.error = error
     status, body = await admin.read("PUT", "/admin/contracts/radio-linz", CONTRACT)
     assert status == code
@@ -240,7 +239,7 @@
     assert (await admin.read("GET", "/admin/events?limit=-1"))[0] == 400
 
 
-async def test_an_agent_says_where_contracts_are():
+async def test_an_agent_refers_to_entries_for_contracts():
     admin = Admin(with_actions=False)
     admin.server.start()
     code, body = await admin.read("GET", "/admin/contracts")
--- a/packages/mustardquay-node/tests/test_configurations.py
+++ b/packages/mustardquay-node/tests/test_configurations.py
@@ -1,4 +1,4 @@
-"""The configuration over lost answers, outages, races and gaps."""
+"""Configuration replicas and editors with lost answers, outages, races and gaps."""
 
 from datetime import timedelta
 from random import Random
@@ -78,10 +78,10 @@
 @pytest.mark.fault
 @pytest.mark.parametrize("fault", ["lose_answers", "lose_calls"])
 async def test_a_lost_answer_is_resolved(make_process, fault):
-    """An operator would apply a contract twice, or believe that it was refused.
+    """Guards against a contract that is applied twice or wrongly reported as refused.
 
-    The answer to the transaction is lost, after or before it has taken effect.
-    The editor sends the same transaction again, which tells by the change id.
+    The answer to the transaction is lost, after or before it was applied. The editor
+    retries the same transaction, which is idempotent by its change id.
     """
     process = make_process()
     setattr(process.store, fault, 2)
@@ -95,8 +95,8 @@
 
 
 @pytest.mark.fault
-async def test_an_edit_that_stays_unclear_can_be_sent_again(make_process):
-    """The store goes down just after it has lost the answer."""
+async def test_an_edit_with_an_unknown_result_can_be_sent_again(make_process):
+    """The answer to an edit is lost and the store is then down."""
     process = make_process(timeout=timedelta(seconds=3))
     process.store.lose_answers = 1000
     with pytest.raises(StoreResultUnknown):
@@ -106,11 +106,12 @@
 
 
 @pytest.mark.fault
-async def test_of_racing_edits_one_wins_and_the_other_sees_the_conflict(make_process):
-    """Two operators amend one contract at once; neither edit may vanish silently.
+async def test_of_racing_edits_one_wins_and_the_other_gets_a_conflict(make_process):
+    """Two operators amend one contract at once; no edit may be lost silently.
 
-    The second editor has read the head before the first one's edit is committed;
-    its transaction meets the moved head and its edit the newer revision.
+    The second editor reads the head row before the first edit is committed. Its
+    transaction then fails because the head has moved, and its edit because the
+    contract has a newer revision.
     """
     first, second = make_process(1), make_process(2)
     await first.editor.propose(make_edit("base"))
@@ -138,7 +139,7 @@
     assert await first.editor.propose(make_edit("b", "tram")) == 2
 
 
-async def test_a_refused_edit_never_takes_force(make_process):
+async def test_a_refused_edit_never_takes_effect(make_process):
     process = make_process()
     with pytest.raises(DocumentError):
         await process.editor.propose(make_edit("a", share=1.5))
@@ -154,10 +155,11 @@
 async def test_a_fresh_process_is_current_by_its_peers_while_the_store_is_down(
     make_process,
 ):
-    """An instance that is replaced in an outage would take no work for an hour.
+    """An instance that is replaced during an outage must be able to accept work.
 
-    Or worse, it would take work under no contracts at all. It waits until peers
-    that are current have given it their highest version.
+    Otherwise it would accept none for the hour that an outage may last. It must not
+    accept work without any contracts either, so it waits until peers that are current
+    have sent it their highest version.
     """
     old, fresh = make_process(), make_process()
     for number in range(3):
@@ -173,8 +175,8 @@
     assert fresh.replica.current and fresh.replica.version == 3
 
 
-async def test_the_word_of_peers_does_not_count_while_the_store_answers(make_process):
-    """A peer that is itself cut off from the store would make it current too soon."""
+async def test_peers_confirm_no_version_while_the_store_answers(make_process):
+    """A peer that can't reach the store must not confirm an outdated version."""
     writer, fresh = make_process(), make_process()
     await writer.editor.propose(make_edit("a"))
     fresh.replica.note_peer_version("cut-off", 0, True)
@@ -184,11 +186,13 @@
 
 
 @pytest.mark.fault
-async def test_an_hour_without_the_store_changes_nothing_in_force(make_process):
-    """Contracts would vanish or revert in a long outage, or stay frozen after it.
+async def test_the_configuration_is_kept_through_an_hour_without_the_store(
+    make_process,
+):
+    """Guards against contracts that are lost, reverted or can't be edited afterwards.
 
-    The store is down for an hour in which everybody goes on asking, and then comes
-    back; the next edit follows on the version from before.
+    The store is down for an hour, during which the process keeps polling. The next
+    edit after the outage gets the version after the one from before.
     """
     process = make_process()
     await process.editor.propose(make_edit("a"))
@@ -204,7 +208,7 @@
 
 @settings(derandomize=True, deadline=None, database=None, max_examples=60)
 @given(data=st.data())
-async def test_versions_never_fall_whatever_order_entries_come_in(data):
+async def test_versions_never_decrease_in_any_order_of_entries(data):
     tables, objects, clock = LocalTables().tables, LocalObjects(), VirtualClock()
     writer = Process(tables, objects, clock)
     for number in range(12):
--- a/packages/mustardquay-node/tests/test_controls.py
+++ b/packages/mustardquay-node/tests/test_controls.py
@@ -1,4 +1,4 @@
-"""Controllers and reconcilers together, on a virtual clock, with their faults."""
+"""Controllers and reconcilers together, on a virtual clock, with injected faults."""
 
 from dataclasses import replace
 from unittest.mock import AsyncMock
@@ -26,7 +26,7 @@
     return fleet
 
 
-async def test_a_release_goes_engine_by_engine_and_back(fleet):
+async def test_a_release_and_its_rollback_change_one_engine_at_a_time(fleet):
     fleet.configure(2, releases=[NEW])
     await fleet.run(200)
     assert fleet.list_versions() == ["2"] * 4
@@ -39,8 +39,8 @@
     assert fleet.count_conflicts() == 0
 
 
-async def test_zones_too_small_to_spare_an_engine_take_a_release_in_turn():
-    """Three zones that each took one of their two would halve a small fleet."""
+async def test_small_zones_apply_a_release_one_after_another():
+    """Three zones that each changed one of their two engines would halve the fleet."""
     fleet = Fleet(6, share=0.8, zones=("linz", "wien-nord", "wien-sued"))
     await fleet.settle()
     fleet.configure(2, releases=[NEW])
@@ -49,7 +49,7 @@
     assert fleet.count_ready() == 6 and fleet.lowest == 5
 
 
-async def test_a_release_takes_no_engine_that_the_contracts_need():
+async def test_a_release_changes_no_engine_that_the_contracts_need():
     fleet = Fleet(4, share=1.0)
     await fleet.settle()
     fleet.configure(2, releases=[NEW])
@@ -62,10 +62,10 @@
 
 
 async def test_a_release_stops_at_the_first_engine_that_it_breaks(fleet):
-    """A version that no engine can load would take them all, one by one.
+    """Guards against a version that no engine can load and that disables all of them.
 
-    The first engine does not come back from its order. The release waits there and
-    can be taken back.
+    The first engine does not recover after its order. The release stops there and can
+    be rolled back.
     """
     fleet.engines["runner-0"].down = True
     fleet.configure(2, releases=[NEW])
@@ -82,7 +82,7 @@
 
 
 async def test_work_that_runs_is_finished_before_the_engine_changes(fleet):
-    """An alert that is being written would be cut by a release."""
+    """Guards against a release that interrupts a running request, such as an alert."""
     fleet.busy = set(fleet.names)
     fleet.configure(2, releases=[NEW])
     await fleet.run(60)
@@ -92,7 +92,7 @@
     assert fleet.list_versions() == ["2"] * 4
 
 
-async def test_drain_and_return(fleet):
+async def test_drain_and_end_of_drain(fleet):
     drain = PlannedChange("d", Action.DRAIN, Scope.UPSTREAM, "runner-2")
     fleet.configure(2, changes=[drain])
     await fleet.run(10)
@@ -118,8 +118,8 @@
 
 
 @pytest.mark.fault
-async def test_a_planned_change_goes_on_after_its_holder_dies(fleet):
-    """A roll-out would stand still, or begin anew, when the entry in charge dies."""
+async def test_a_rollout_continues_after_the_lease_holder_fails(fleet):
+    """Guards against a rollout that stops or restarts when the lease holder fails."""
     fleet.configure(2, releases=[NEW])
     await fleet.run(30)
     assert "1" in fleet.list_versions() and "2" in fleet.list_versions()
@@ -132,22 +132,22 @@
 
 @pytest.mark.fault
 async def test_a_holder_paused_in_the_middle_of_an_order_changes_nothing(fleet):
-    """An engine would be told to go back to what another entry just replaced.
+    """Guards against an order that reverts an engine to an outdated state.
 
     The holder has decided on rows and is paused before its transaction for longer
-    than its term. Another takes over and takes the release back. Then the first
-    wakes up and sends its transaction.
+    than the lease's term. Another entry takes over, and the release is rolled back.
+    Then the first entry resumes and sends its transaction.
     """
     holder, other = fleet.entries if fleet.entries[0].held else fleet.entries[::-1]
     transact = holder.store.transact
-    held_back = hold_back_orders(holder)
+    intercepted = intercept_orders(holder)
     fleet.configure(2, releases=[NEW])
     await holder.run_once()
-    assert held_back and holder.held
+    assert intercepted and holder.held
     fleet.configure(3)
     await fleet.run(30, [other])
     assert other.held
-    for transaction in held_back:
+    for transaction in intercepted:
         result = await transact(transaction)
         assert not result and LEASES in [row.table for row in result.rows]
     await fleet.run(30, [other])
@@ -156,44 +156,45 @@
 
 @pytest.mark.fault
 async def test_a_late_copy_of_an_older_transaction_changes_nothing(fleet):
-    """An engine would be told to go back to an older row by its own holder.
+    """Guards against an order row that is overwritten by an older one.
 
-    A transaction is held up in the network and given up as unclear. The holder
-    reads the rows and writes others; then the first one arrives.
+    A transaction is delayed in the network, and its result is unknown to the holder,
+    which reads the rows and writes newer ones. Then the delayed transaction arrives.
     """
     holder = next(entry for entry in fleet.entries if entry.held)
     transact = holder.store.transact
-    held_back = hold_back_orders(holder)
+    intercepted = intercept_orders(holder)
     fleet.configure(2, releases=[NEW])
     await holder.run_once()
     holder.store.transact = transact
     await fleet.run(60)
-    (transaction,) = held_back
+    (transaction,) = intercepted
     result = await transact(transaction)
     assert not result and ORDERS in [row.table for row in result.rows]
 
 
-def hold_back_orders(holder):
-    """Keep the holder's transactions on order rows from the store; return them."""
-    held_back = []
+def intercept_orders(holder):
+    """Intercept and return the holder's transactions on order rows."""
+    intercepted = []
     transact = holder.store.transact
 
-    async def hold_back(transaction):
+    async def intercept(transaction):
         if transaction.writes[0].table != ORDERS:
             return await transact(transaction)
-        held_back.append(transaction)
+        intercepted.append(transaction)
         raise StoreResultUnknown("The transaction is still under way.")
 
-    holder.store.transact = hold_back
-    return held_back
+    holder.store.transact = intercept
+    return intercepted
 
 
 @pytest.mark.fault
 async def test_an_agent_is_replaced_while_its_engine_loads_a_model(fleet):
-    """Two agents would order one engine about, each from its own half of the story.
+    """Guards against conflicting orders of two agents to one engine.
 
-    The agent dies with an order under way. The next one claims the engine, waits
-    until nothing of the first can arrive any more and sees the engine settle.
+    The agent fails while an order is in progress. Its replacement claims the engine
+    and waits until no order of the first agent can arrive any more and the engine's
+    change has ended.
     """
     fleet.configure(2, releases=[NEW])
     await fleet.run(6)
@@ -211,8 +212,8 @@
 
 
 @pytest.mark.fault
-async def test_an_engine_back_in_an_unknown_state_is_mended(fleet):
-    """Callers would get answers of whatever the engine happens to have loaded."""
+async def test_an_engine_that_restarts_in_another_state_is_corrected(fleet):
+    """Guards against answers of a model version that the engine should not serve."""
     fleet.engines["runner-1"].crash(Desired(Role.MIXED, {"m": "0"}))
     await fleet.agents["runner-1"].run_once()
     assert not fleet.agents["runner-1"].ready
@@ -223,8 +224,8 @@
 
 
 @pytest.mark.fault
-async def test_serving_goes_on_through_an_hour_without_the_store(fleet):
-    """Every engine would leave service because nobody can say what it should be.
+async def test_serving_continues_through_an_hour_without_the_store(fleet):
+    """Guards against engines that leave service because their orders can't be read.
 
     A release is announced and reaches the order row of one engine just before the
     store goes down for an hour.
@@ -252,8 +253,8 @@
 
 
 @pytest.mark.fault
-async def test_lost_answers_neither_double_a_claim_nor_an_order(fleet):
-    """An agent would take itself for superseded by its own claim."""
+async def test_lost_answers_duplicate_neither_a_claim_nor_an_order(fleet):
+    """Guards against an agent that is superseded by its own claim."""
     name = fleet.names[0]
     fleet.agents[name] = fleet.make_agent(name, 2)
     fleet.agents[name].store.lose_answers = 1
@@ -267,12 +268,12 @@
 
 
 @pytest.mark.fault
-async def test_a_new_holder_with_an_old_configuration_returns_no_engine(fleet):
-    """An engine that was drained for its replacement would get work again.
+async def test_a_new_holder_with_an_old_configuration_ends_no_drain(fleet):
+    """Guards against work for an engine that was drained for its replacement.
 
-    The drain is accepted and carried out. A fresh entry takes the lease over before
-    the newest version has come to it: it must read the head, and its writes must
-    not pass if the head has moved since.
+    The drain is accepted and executed. A new entry takes over the lease before it has
+    received the newest version. It must read the head row, and its writes must fail if
+    the head has moved since.
     """
     drain = PlannedChange("d", Action.DRAIN, Scope.UPSTREAM, "runner-2")
     before = fleet.replica.configuration
@@ -290,7 +291,7 @@
     assert fleet.agents["runner-2"].draining and fleet.count_ready() == 3
 
 
-async def test_a_holder_that_stops_hands_over_at_once(fleet):
+async def test_a_holder_that_stops_releases_its_lease_at_once(fleet):
     holder, other = fleet.entries if fleet.entries[0].held else fleet.entries[::-1]
     await holder.close()
     await other.run_once()
--- a/packages/mustardquay-node/tests/test_executors.py
+++ b/packages/mustardquay-node/tests/test_executors.py
@@ -14,8 +14,8 @@
 OWNER = ("entry-1", 1)
 
 
-class KeptLink:
-    """A link that keeps what is sent on it."""
+class RecordingLink:
+    """A link that records the messages sent on it."""
 
     def __init__(self):
         self.sent = []
@@ -26,7 +26,7 @@
 
 
 class CountingClient:
-    """An upstream that counts the calls that reach it, and answers them."""
+    """An upstream client that counts the calls it sends and answers them."""
 
     def __init__(self):
         self.reached = 0
@@ -95,45 +95,45 @@
     return any(isinstance(message, Refused) for message in link.sent)
 
 
-async def settle():
+async def run_pending_tasks():
     for _ in range(10):
         await asyncio.sleep(0)
 
 
-async def test_drain_just_after_the_start_does_not_call_a_run_not_started(executor):
+async def test_a_drain_does_not_refuse_a_run_that_was_just_started(executor):
     """
-    A host books in the moment in which the service's agent begins to drain. The
-    call was taken from the queue and its task has not run yet. Were it refused as
-    never started, the entry would send the Booking to another service, and it
-    would be carried out twice.
+    A Booking arrives just before the service's agent starts to drain. Its call was
+    taken from the queue, but the task has not run yet. If it were refused as never
+    started, the entry would send the Booking to another service, and it would be
+    executed twice.
     """
-    link = KeptLink()
+    link = RecordingLink()
     executor.accept(OWNER, make_attempt(1), link)
     executor.start_drain()
-    await settle()
+    await run_pending_tasks()
     assert executor.client.reached == 1
     assert not was_refused(link)
 
 
 async def test_cancelled_work_does_not_reach_the_upstream(executor):
     """
-    A caller leaves in the moment in which its work is started. The cancellation
-    comes before the first byte, so the upstream is spared the work.
+    A caller disconnects just as its attempt is started. The cancellation precedes the
+    first byte, so nothing is sent to the upstream.
     """
-    link = KeptLink()
+    link = RecordingLink()
     executor.accept(OWNER, make_attempt(1, repeatable=True), link)
     executor.cancel(OWNER, 1)
-    await settle()
+    await run_pending_tasks()
     assert executor.client.reached == 0
     assert was_refused(link)
 
 
-async def test_work_that_waits_is_handed_back_by_a_drain(executor):
+async def test_queued_attempts_are_refused_by_a_drain(executor):
     """
-    More is asked of an engine than it takes at once, and its agent drains. What
-    waits is refused as never started, and is free to run elsewhere.
+    More attempts arrive than the engine runs concurrently, and its agent drains. The
+    queued ones are refused as never started, so they can run on another upstream.
     """
-    link = KeptLink()
+    link = RecordingLink()
     for stream in range(1, 60):
         executor.accept(OWNER, make_attempt(stream), link)
     waiting = executor.waiting
@@ -141,5 +141,5 @@
     executor.start_drain()
     refused = [message for message in link.sent if isinstance(message, Refused)]
     assert len(refused) == waiting
-    await settle()
+    await run_pending_tasks()
     assert executor.client.reached == 59 - waiting
--- a/packages/mustardquay-node/tests/test_stores.py
+++ b/packages/mustardquay-node/tests/test_stores.py
@@ -62,7 +62,7 @@
     return Transaction((Condition("t", key, revision),), (Write("t", key, {"n": 1}),))
 
 
-async def test_rows_go_there_and_back(site):
+async def test_rows_are_written_read_and_scanned(site):
     tables = await site.make_tables()
     assert await tables.transact(put("b")) == Committed((1,))
     row = Row("t", "b", {"n": 1}, 1)
@@ -87,9 +87,10 @@
 
 @pytest.mark.fault
 async def test_a_transaction_whose_answer_was_lost_is_not_sent_again(site):
-    """A Booking's claim would be written by one attempt and refused to the same.
+    """Guards against a claim that conflicts with the same attempt's earlier write.
 
-    The service applies the transaction and the connection ends before its answer.
+    The service applies the transaction of a Booking's claim, and the connection ends
+    before its answer.
     """
     tables = await site.make_tables()
     site.platform.tables.faults.lose_answers = 1
@@ -100,7 +101,7 @@
 
 
 @pytest.mark.fault
-async def test_calls_over_the_rate_are_made_again_when_the_service_says(site):
+async def test_rate_limited_calls_are_retried_after_the_time_given(site):
     tables = await site.make_tables()
     site.platform.tables.faults.write_rate = 1.0
     for number in range(4):
@@ -109,7 +110,7 @@
     assert sum(site.slept, timedelta()) >= timedelta(seconds=2)
 
 
-async def test_a_process_keeps_to_its_own_budget(site):
+async def test_a_process_limits_the_rate_of_its_own_calls(site):
     tables = await site.make_tables(limits=StoreLimits(10.0, 5, 10.0, 5))
     for _ in range(15):
         await tables.read("t", "a")
@@ -117,30 +118,30 @@
 
 
 @pytest.mark.fault
-async def test_an_hour_of_outage_ends_without_a_stampede(site):
-    """The store would be overrun at its return, fail again, and never come back.
+async def test_an_hour_of_outage_ends_without_overload(site):
+    """Guards against a thundering herd that overloads the store after an outage.
 
-    Fifty processes ask every two seconds for an hour while it is down. Behind
-    their breakers only probes reach it, and after its return the calls of the
-    first second stay within the rate of ordinary days.
+    Fifty processes call the store every two seconds for an hour while it is down.
+    Because of their circuit breakers only probes reach it, and after its recovery the
+    calls of the first second stay within the normal rate.
     """
     faults, counters = site.platform.tables.faults, site.platform.tables.counters
     faults.read_rate = 0.0
     processes = [await site.make_tables(seed) for seed in range(50)]
     faults.down = True
-    refused = await ask_all(site, processes, rounds=20)
+    refused = await read_all(site, processes, rounds=20)
     assert refused == 50 * 20
     assert not any(tables.is_available for tables in processes)
     site.clock.advance(timedelta(hours=1))
     faults.down = False
     faults.read_rate = 2000.0
-    answered = [50 - await ask_all(site, processes, rounds=1) for _ in range(12)]
+    answered = [50 - await read_all(site, processes, rounds=1) for _ in range(12)]
     assert answered[-1] == 50
     assert all(tables.is_available for tables in processes)
     assert counters.limited == 0
 
 
-async def ask_all(site, processes, rounds):
+async def read_all(site, processes, rounds):
     refused = 0
     for _ in range(rounds):
         for tables in processes:
@@ -159,18 +160,19 @@
     for _ in range(10):
         with pytest.raises(StoreUnavailable):
             await tables.read("t", "a")
-    # With the breaker open, a call ends within its deadline without being made.
+    # With the circuit breaker open, a call fails before its deadline and is not sent.
     with pytest.raises(StoreUnavailable):
         await tables.read("t", "a")
     assert not tables.is_available
 
 
 async def test_a_pause_of_the_process_is_no_failure_of_the_service(site):
-    """An edit fails, and calls are refused for seconds, though the store is well.
+    """Guards against calls that fail although the store is healthy.
 
-    The process does not run for longer than a call may take. It wakes with the limits
-    of its calls due before what the store answered is read; each fails, and three
-    failures open the breaker.
+    The process is paused for longer than a call's timeout. When it resumes, the
+    timeouts of its calls are due before the store's answers are read. Each call would
+    fail, and three failures would open the circuit breaker, so that an edit fails and
+    calls are refused for seconds.
     """
     timeout = timedelta(seconds=0.5)
     url = site.platform.tables.url
