--- a/packages/mustardquay-node/src/mustardquay_node/answers.py
+++ b/packages/mustardquay-node/src/mustardquay_node/answers.py
@@ -1,4 +1,4 @@
-"""Answers: how outcomes, refusals and answers reach the caller over HTTP."""
+"""How answers, refusals and outcomes are sent to a caller over HTTP."""
 
 import asyncio
 from collections.abc import Callable
@@ -31,13 +31,13 @@
     422: "invalid_request_error",
     429: "rate_limit_error",
 }
-"""The types of the OpenAI API by status; all others are "server_error"."""
+"""Error types of the OpenAI API by status; all others are "server_error"."""
 
 REFUSAL_STATUSES = {
     Reason.CONTRACT: 403,
     Reason.OVERLOAD: 429,
 }
-"""Statuses of true refusals; all others are 503."""
+"""Statuses of requests that were not run, by reason; all others are 503."""
 
 
 def choose_status(end: Finish) -> int:
@@ -58,7 +58,7 @@
 def encode_error(
     status: int, message: str, code: str, field: str | None = None, outcome: str = ""
 ) -> bytes:
-    """Return an error in the shape of the OpenAI API."""
+    """Return the body of an error in the format of the OpenAI API."""
     error: dict[str, Any] = {
         "message": message,
         "type": ERROR_TYPES.get(status, "server_error"),
@@ -71,7 +71,7 @@
 
 
 class BufferedSink:
-    """Keeps an answer until it is whole; a retry's answer replaces a partial one."""
+    """Buffers an answer until its end; that of a retry replaces a partial one."""
 
     def __init__(self) -> None:
         self._parts: list[bytes] = []
@@ -79,46 +79,47 @@
         self.status = 0
         self.headers: tuple[Header, ...] = ()
         self.first = asyncio.get_running_loop().create_future()
-        """Done with the end, or with the refusal told early."""
+        """Resolves at the end, or earlier with the refusal of `answer_early`."""
         self.ended: asyncio.Future[Finish] = asyncio.get_running_loop().create_future()
 
     @property
     def body(self) -> bytes:
-        """Return what has come of the body."""
+        """Return the part of the body that was received so far."""
         return b"".join(self._parts)
 
     def connect(self, taken: Callable[[int], None]) -> None:
-        """Tell whom to tell how much was taken."""
+        """Set the callback that gets the size of each part the caller has taken."""
         self._taken = taken
 
     def take_head(self, status: int, headers: tuple[Header, ...]) -> None:
-        """Begin an answer, in place of an earlier one that broke."""
+        """Begin an answer, replacing that of an attempt that failed."""
         self.status = status
         self.headers = headers
         self._parts.clear()
 
     def take_data(self, data: bytes) -> None:
-        """Keep a part."""
+        """Buffer a part of the body."""
         self._parts.append(data)
         self._taken(len(data))
 
     def answer_early(self, refusal: Refusal) -> None:
-        """Tell whoever waits that the outcome is unknown for now."""
+        """Resolve `first` with an unknown outcome; the work goes on."""
         if not self.first.done():
             self.first.set_result(Finish(Outcome.UNKNOWN, refusal))
 
     def finish(self, end: Finish) -> None:
-        """Take the outcome."""
+        """Resolve `ended` with the outcome."""
         self.ended.set_result(end)
         if not self.first.done():
             self.first.set_result(end)
 
 
 class StreamSink:
-    """Writes a stream of events to the caller as they come.
+    """Writes a stream of events to the caller as they arrive.
 
-    What comes within one turn of the loop is written at once. A head that is not
-    200 is kept like that of a buffered answer, since it may still be replaced.
+    Data that arrives within one iteration of the event loop is written together. An
+    answer with a status other than 200 is buffered, since that of a retry may still
+    replace it.
     """
 
     def __init__(
@@ -128,7 +129,10 @@
         now: Callable[[], timedelta],
         schedule: Callable[[Callable[[], None]], None],
     ):
-        """Take how to begin and write; `schedule` calls back in the next turn."""
+        """Take the callbacks that send the headers and the data.
+
+        `schedule` runs a function in the next iteration of the event loop.
+        """
         self._begin = begin
         self._write = write
         self._now = now
@@ -142,21 +146,21 @@
         self.first_data_at: timedelta | None = None
         self.last_data_at: timedelta | None = None
         self.blocked_since: timedelta | None = None
-        """When the caller stopped to take data, or None while it keeps up."""
+        """When the caller stopped to read, or None while it keeps up."""
         self.ended = self._buffered.ended
 
     @property
     def buffered(self) -> BufferedSink:
-        """Return the answer of a request that did not stream after all."""
+        """Return the answer of a request that did not become a stream."""
         return self._buffered
 
     def connect(self, taken: Callable[[int], None]) -> None:
-        """Tell whom to tell how much was taken."""
+        """Set the callback that gets the size of each part the caller has taken."""
         self._taken = taken
         self._buffered.connect(taken)
 
     def take_head(self, status: int, headers: tuple[Header, ...]) -> None:
-        """Begin the stream, or keep an answer that is none."""
+        """Begin the stream, or buffer an answer that isn't a stream."""
         if status == 200:
             self.streaming = True
             self._begin(headers)
@@ -164,7 +168,7 @@
             self._buffered.take_head(status, headers)
 
     def take_data(self, data: bytes) -> None:
-        """Write with the end of this turn of the loop."""
+        """Schedule a part to be written in the next iteration of the event loop."""
         if not self.streaming:
             self._buffered.take_data(data)
             return
@@ -177,15 +181,15 @@
             self._schedule(self.flush)
 
     def answer_early(self, refusal: Refusal) -> None:
-        """Streams are idempotent, and so are never answered early."""
+        """Do nothing: streams are idempotent, and so are never answered early."""
 
     def finish(self, end: Finish) -> None:
-        """Write the rest and take the outcome."""
+        """Write what is pending and resolve `ended` with the outcome."""
         self.flush()
         self._buffered.finish(end)
 
     def flush(self) -> None:
-        """Write what has come, unless the caller has not taken the last of it."""
+        """Write the pending data, unless the previous write is still under way."""
         self._scheduled = False
         if not self._pending or self._writing is not None:
             return
@@ -200,7 +204,7 @@
         writing.add_done_callback(lambda _: self._end_write(len(data)))
 
     def take_rest(self) -> bytes:
-        """Return what was not written yet."""
+        """Return and clear the data that was not written yet."""
         data = b"".join(self._pending)
         self._pending.clear()
         return data
--- a/packages/mustardquay-node/src/mustardquay_node/authorities.py
+++ b/packages/mustardquay-node/src/mustardquay_node/authorities.py
@@ -1,7 +1,7 @@
-"""Authorities: the control domains that an entry may hold the lease of.
+"""The controllers of an entry, one for each control domain it may hold the lease of.
 
-A domain is an availability zone; `members.choose_domains` says which entries compete
-for its lease.
+A domain is an availability zone; `membership.choose_domains` says which entries
+compete for its lease.
 """
 
 import logging
@@ -23,7 +23,7 @@
 
 
 class Authorities:
-    """The controllers of one entry, one for each domain it may hold."""
+    """Runs a controller for each domain that this entry may hold the lease of."""
 
     def __init__(
         self,
@@ -33,10 +33,10 @@
         find_instance: Callable[[str], str],
         tell_changed: Callable[[str], None],
     ):
-        """Take the parts.
+        """Take the dependencies.
 
-        `find_instance` names the instance of an upstream, and `tell_changed` tells
-        the agent of an upstream that its order row has changed.
+        `find_instance` returns the instance of an upstream, and `notify_changed`
+        notifies the agent of an upstream that its order row has changed.
         """
         self._parts = parts
         self._keeper = keeper
@@ -52,20 +52,20 @@
         return self._domains.held
 
     async def close(self) -> None:
-        """Give up the leases, so that others go on at once."""
+        """Release the leases, so that other entries can take them at once."""
         lease_changed.disconnect(self._note_lease)
         rows_written.disconnect(self._note_rows)
         await self._domains.close()
 
     def start(self) -> None:
-        """Begin to listen to the controllers that follow."""
+        """Subscribe to the signals of the controllers."""
         lease_changed.connect(self._note_lease)
         rows_written.connect(self._note_rows)
 
     async def follow(
         self, entries: Sequence[Instance], agents: Sequence[Instance]
     ) -> None:
-        """Stand for the domains that the lists give this process."""
+        """Compete for the domains that the instance lists assign to this process."""
         self._agents = max(len(agents), 1)
         name = self._parts.identity.process
         await self._domains.set_domains(choose_domains(name, entries, agents))
--- a/packages/mustardquay-node/src/mustardquay_node/bodies.py
+++ b/packages/mustardquay-node/src/mustardquay_node/bodies.py
@@ -1,4 +1,4 @@
-"""Bodies: what callers may send to the OpenAI-compatible API."""
+"""Request bodies of the OpenAI-compatible API."""
 
 from typing import Annotated, Any, TypeVar
 
@@ -14,11 +14,11 @@
 ]
 
 CHARACTERS_PER_TOKEN = 4
-"""Of English prose, by the rule of thumb in OpenAI's documentation."""
+"""For English prose, by the rule of thumb in OpenAI's documentation."""
 
 
 class BodyError(ValueError):
-    """A body that can't be used; names the field and the remedy."""
+    """An invalid body; the message names the field and how to correct it."""
 
     def __init__(self, field: str, message: str):
         super().__init__(message)
@@ -26,7 +26,7 @@
 
 
 class GenerationBody(BaseModel):
-    """What both kinds of generation have in common; other fields pass through."""
+    """The fields of both kinds of generation; unknown fields are passed through."""
 
     model_config = ConfigDict(extra="allow", strict=True)
 
@@ -43,7 +43,7 @@
         return self.max_tokens
 
     def read_prompt(self) -> str:
-        """Return the text of the prompt, to estimate its tokens and prefix."""
+        """Return the prompt's text, used to estimate its tokens and its prefix hash."""
         return ""
 
 
@@ -68,7 +68,7 @@
         return self.max_completion_tokens or self.max_tokens
 
     def read_prompt(self) -> str:
-        """Return the messages' text, joined."""
+        """Return the joined texts of the messages."""
         return "\n".join(
             message.content
             if isinstance(message.content, str)
@@ -91,7 +91,7 @@
 
 
 def read_body(kind: type[Body], data: bytes) -> Body:
-    """Check a body; raises `BodyError`.
+    """Parse and validate a body; raises `BodyError`.
 
     >>> read_body(CompletionBody, b'{"model": "m", "prompt": "x"}').stream
     False
@@ -113,5 +113,5 @@
 
 
 def count_prompt_tokens(prompt: str) -> int:
-    """Return an estimate of the prompt's tokens."""
+    """Return the estimated number of tokens in a prompt."""
     return len(prompt) // CHARACTERS_PER_TOKEN + 1
--- a/packages/mustardquay-node/src/mustardquay_node/caller_servers.py
+++ b/packages/mustardquay-node/src/mustardquay_node/caller_servers.py
@@ -1,4 +1,4 @@
-"""Caller servers: the port of an entry that callers meet."""
+"""The HTTP server of an entry for callers."""
 
 import socket
 import ssl
@@ -19,9 +19,9 @@
 __all__ = ["CallerServer"]
 
 SEND_BUFFER = 128 * 1024
-"""Bytes that the kernel keeps for a caller; it doubles the number itself."""
+"""`SO_SNDBUF` of a caller's connection; the kernel doubles the number."""
 BUFFER_SIZE = 1024 * 1024 * 1024
-"""Bytes that tornado lets a body have; handlers hold to the limit of settings."""
+"""Body limit for tornado; the handlers apply the lower limit of the settings."""
 
 
 class CallerServer:
@@ -39,7 +39,7 @@
 
     @property
     def port(self) -> int:
-        """Return the port; the real one after `start`."""
+        """Return the port; the port actually bound after `start`."""
         return self._port
 
     @property
@@ -49,12 +49,13 @@
         return f"{scheme}://{self._address}:{self._port}"
 
     def start(self) -> None:
-        """Begin to listen; raises `OSError` and `SettingsError`."""
+        """Start to listen; raises `OSError` and `SettingsError`."""
         tls = self._make_tls()
         sockets = bind_sockets(self._port, self._address)
         for listener in sockets:
-            # Connections inherit it. The kernel would else buffer some megabytes
-            # for each caller that takes nothing in, out of sight of the window.
+            # Connections inherit the size. The kernel would otherwise buffer some
+            # megabytes for each caller that doesn't read, which flow control
+            # doesn't count.
             listener.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, SEND_BUFFER)
         self._port = sockets[0].getsockname()[1]
         self._server = HTTPServer(
@@ -75,10 +76,10 @@
             self._server = None
 
     def drop_slow_callers(self) -> None:
-        """Drop callers that take nothing in of what is streamed to them.
+        """Close the connections of callers that have stopped to read their stream.
 
-        A caller that hangs, or is half gone, would hold its stream's memory here
-        and its place on the engine for as long as TCP keeps the connection.
+        A caller that hangs, or whose connection is half open, would otherwise occupy
+        memory here and a slot of the engine for as long as TCP keeps the connection.
         """
         limit: timedelta = self._settings.progress_timeout
         oldest = self._clock.monotonic() - limit
--- a/packages/mustardquay-node/src/mustardquay_node/callers.py
+++ b/packages/mustardquay-node/src/mustardquay_node/callers.py
@@ -1,4 +1,4 @@
-"""Callers: the HTTP handlers that callers meet, whatever they call."""
+"""The base class of the HTTP handlers that serve callers."""
 
 import asyncio
 from collections.abc import Awaitable, Callable, Iterator
@@ -40,15 +40,15 @@
 OUTCOME_HEADER = "Mustardquay-Outcome"
 REQUEST_HEADER = "Mustardquay-Request"
 SWALLOW_LIMIT = 16 * 1024 * 1024
-"""Bytes over the limit of a body that are read, so that the caller sees the 413;
-a connection closed on unread bytes would lose it."""
+"""Bytes beyond the body limit that are read and discarded, so that the caller gets
+the 413. Closing the connection with unread bytes would lose that response."""
 SKIPPED_HEADERS = frozenset(
     {"authorization", "connection", "content-length", "host", "transfer-encoding"}
 )
 
 
 class ConfigurationSource(Protocol):
-    """Where the configuration in force is to be had."""
+    """Gives access to the configuration in force."""
 
     @property
     def configuration(self) -> Configuration:
@@ -56,11 +56,11 @@
 
     @property
     def current(self) -> bool:
-        """Return whether this process may take work under it."""
+        """Return whether it is recent enough for this process to take work."""
 
 
 class InFlight:
-    """Counts the requests that handlers are at work on."""
+    """Counts the requests that are being handled."""
 
     def __init__(self) -> None:
         self._count = 0
@@ -69,7 +69,7 @@
 
     @property
     def count(self) -> int:
-        """Return how many requests there are."""
+        """Return the number of requests in flight."""
         return self._count
 
     @contextmanager
@@ -85,13 +85,13 @@
                 self._empty.set()
 
     async def wait_until_empty(self) -> None:
-        """Wait until there is none."""
+        """Wait until no request is in flight."""
         await self._empty.wait()
 
 
 @dataclass(slots=True)
 class CallerParts:
-    """What the handlers of one entry share."""
+    """The objects that all handlers of an entry share."""
 
     settings: EntrySettings
     services: dict[str, ServiceSettings]
@@ -105,14 +105,14 @@
     in_flight: "InFlight"
     draining: Callable[[], bool]
     streams: set[Any]
-    """Streams that are being written, watched for callers that take nothing."""
+    """Handler and sink of each open stream, checked for callers that don't read."""
     turns: TurnQueue = field(default_factory=TurnQueue)
-    """Where streams are written at the end of a turn of the loop."""
+    """Batches the writes of all streams in one iteration of the event loop."""
 
 
 @dataclass(frozen=True, slots=True)
 class _Fault:
-    """Why a request is refused before it is tried."""
+    """The error response for a request that is refused before any attempt."""
 
     status: int
     message: str
@@ -123,17 +123,17 @@
 
 @stream_request_body
 class CallerHandler(RequestHandler):
-    """Authenticates, takes the body in and answers; each kind of call extends it.
+    """Authenticates the caller, reads the body and responds; base of all handlers.
 
-    The answer waits for the whole body, so that a caller which is still sending
-    does not lose it. Errors have the shape of the OpenAI API.
+    The response waits for the whole body, because a caller that is still sending
+    could lose it. Errors have the format of the OpenAI API.
     """
 
     operation = ""
     """Name of the operation in metrics."""
 
     def initialize(self, parts: CallerParts) -> None:
-        """Take what the handlers of an entry share."""
+        """Set up the handler of one request."""
         self.parts = parts
         self.model = ""
         self.customer: Contract | None = None
@@ -154,18 +154,18 @@
         return b"".join(self._body)
 
     def set_default_headers(self) -> None:
-        """Name the request and its outcome in every response."""
+        """Add the request id and the outcome to every response."""
         name_request(self.request)
         self.set_header("Server", "mustardquay")
         self.set_header(REQUEST_HEADER, self.request.request_id)
         self.set_header(OUTCOME_HEADER, Outcome.NOT_RUN.value)
 
     def prepare(self) -> None:
-        """Check the caller and the announced size, before the body is read."""
+        """Check the API key and `Content-Length` before the body is read."""
         self._fault = self._check_state() or self._check_key() or self._check_length()
 
     def data_received(self, chunk: bytes) -> None:
-        """Take a part of the body in, up to the limit."""
+        """Store a part of the body, up to the limit."""
         self._body_size += len(chunk)
         limit = self.parts.settings.body_limit
         if self._body_size <= limit:
@@ -178,22 +178,22 @@
             self.request.connection.close()
 
     def compute_etag(self) -> None:
-        """Leave answers without a tag of ours; they are the upstream's."""
+        """Add no ETag of the entry to answers of an upstream."""
         return None
 
     def on_connection_close(self) -> None:
-        """Tell the exchange that its caller is gone."""
+        """Run the callback that was set for a caller that disconnects."""
         super().on_connection_close()
         self._left()
 
     def on_caller_left(self, callback: Callable[[], None]) -> None:
-        """Call back when the caller goes before its answer."""
+        """Set the callback for a caller that disconnects before its answer."""
         self._left = callback
 
     async def serve(self, run: Callable[[], Awaitable[None]]) -> None:
-        """Refuse what is at fault, or run it; a drain waits for what runs."""
-        # Asked again, as the body may have taken until after the entry began to stop:
-        # the call would be run, and be cut off at the end of the time to drain.
+        """Refuse an invalid request or run it; a drain waits for its end."""
+        # Checked again because the drain may have begun while the body was read. The
+        # request would otherwise be run and cut off at the drain timeout.
         fault = self._fault or self._check_state()
         if fault is not None:
             self._refuse_fault(fault)
@@ -219,11 +219,11 @@
         field: str | None = None,
         retry_after: timedelta | None = None,
     ) -> None:
-        """Answer that the request was not run, and what mends it."""
+        """Respond that the request was not run, and how to correct it."""
         self._refuse_fault(_Fault(status, message, code, field, retry_after))
 
     def send_end(self, end: Finish, sink: BufferedSink) -> None:
-        """Answer with a whole answer, or with the outcome of none."""
+        """Respond with the buffered answer, or with the outcome if there is none."""
         if end.outcome is Outcome.ANSWERED:
             self.send_answer(sink.status, sink.headers, sink.body)
         else:
@@ -232,7 +232,7 @@
     def send_answer(
         self, status: int, headers: tuple[Header, ...], body: bytes
     ) -> None:
-        """Pass a whole answer on."""
+        """Respond with a complete answer."""
         self.set_status(status)
         self.clear_header("Content-Type")
         for name, value in headers:
@@ -242,7 +242,7 @@
         self._end(Outcome.ANSWERED, body)
 
     def send_outcome(self, end: Finish) -> None:
-        """Tell the outcome of a request without an answer."""
+        """Respond with the outcome of a request that has no answer."""
         assert end.refusal is not None
         status = choose_status(end)
         self.parts.metrics.count_refusal(end.refusal.reason)
@@ -252,8 +252,9 @@
         )
 
     def write_error(self, status_code: int, **options: Any) -> None:
-        """Answer for an exception in a handler, without its text."""
-        # What was sent by then is not known here, so neither is the outcome.
+        """Respond to an exception in a handler, without its message."""
+        # Attempts may have been sent before the exception, so the outcome of a
+        # server error is unknown.
         outcome = Outcome.UNKNOWN if status_code >= 500 else Outcome.NOT_RUN
         message = "The entry failed; look up this request's id in its log."
         if status_code < 500:
@@ -336,15 +337,15 @@
 
 
 class NotFoundHandler(CallerHandler):
-    """Answers for paths that are not served."""
+    """Responds with 404 to paths that are not served."""
 
     async def prepare(self) -> None:
-        """Refuse at once; there is nothing to read."""
+        """Refuse at once, without reading a body."""
         path = self.request.path
         self.refuse(404, f"{path} is not served; see the callers' page.", "not_found")
 
 
 def name_request(request: HTTPServerRequest) -> None:
-    """Give the request its id, once."""
+    """Assign an id to the request, unless it has one."""
     if not hasattr(request, "request_id"):
         request.request_id = uuid4().hex
--- a/packages/mustardquay-node/src/mustardquay_node/claim_writers.py
+++ b/packages/mustardquay-node/src/mustardquay_node/claim_writers.py
@@ -1,9 +1,10 @@
-"""Claim writers: the grouped transactions of one process on the table of claims.
+"""Group commit of one process's writes to the claim table.
 
-The service takes several hundred writes a second for the whole site, so the writes
-of a short window go into one transaction, one transaction at a time; while it is
-under way the next one gathers. An unclear transaction is read back by sending it
-again: its conditions then fail, and the conflict shows the rows with their ids.
+The table service handles several hundred writes a second for the whole site, so all
+writes of a short window go into one transaction. A process sends one transaction at a
+time, and collects the next one meanwhile. A transaction with an unknown result is sent
+again: if it had been applied, its conditions fail, and the conflict returns the rows
+with the ids of their claims.
 """
 
 import asyncio
@@ -36,24 +37,25 @@
 BATCH_LIMIT = 100
 WAITING_LIMIT = 10_000
 BACKOFF_CAP = timedelta(milliseconds=400)
-"""Under the lateness that callers tolerate, so that claims go on soon after an
-outage; there is one call at a time from each process."""
+"""Shorter than the lateness that callers tolerate, so that claims proceed soon after
+an outage. Each process sends only one call at a time, so the retries are few."""
 
 logger = logging.getLogger(__name__)
 
 
 @dataclass(slots=True, eq=False)
 class WaitingWrite:
-    """A write that waits for its transaction."""
+    """A queued write, until its result is known."""
 
     claim: Claim
     result: "asyncio.Future[Judgement | bool]"
     begins: bool
-    """Whether it makes a claim; otherwise it ends one."""
+    """Whether it creates a claim; otherwise it writes a claim's final state."""
     unclear: bool = False
-    """Whether a try of it may have been applied."""
+    """Whether an earlier transaction with this write may have been applied."""
     alone: bool = False
-    """Whether a conflict could not be told to be its own."""
+    """Whether it needs a transaction of its own, since it was in a conflict that
+    doesn't show which of the writes failed."""
     abandoned: bool = False
 
     @property
@@ -63,7 +65,7 @@
 
 
 class ClaimWriter:
-    """Writes claims and their ends, in groups, until the store has taken them."""
+    """Writes new claims and final states in groups, with retries until stored."""
 
     def __init__(
         self,
@@ -88,25 +90,25 @@
 
     @property
     def transactions(self) -> int:
-        """Return how many transactions were sent."""
+        """Return the number of transactions sent."""
         return self._transactions
 
     @property
     def waiting(self) -> int:
-        """Return how many writes wait for a transaction."""
+        """Return the number of queued writes."""
         return len(self._waiting)
 
     @property
     def full(self) -> bool:
-        """Return whether no more claims may be queued."""
+        """Return whether no new claim may be queued."""
         return self._closing or len(self._waiting) >= WAITING_LIMIT
 
     def start(self) -> None:
-        """Begin to write."""
+        """Start the task that writes."""
         self._task = asyncio.create_task(self._write_all())
 
     async def close(self, timeout: timedelta) -> None:
-        """Write what waits, as far as the store takes it in time, and stop."""
+        """Write what is queued, as far as the timeout permits, and stop."""
         self._closing = True
         self._wake.set()
         if self._task is None:
@@ -115,22 +117,23 @@
         self._task.cancel()
         await asyncio.gather(self._task, return_exceptions=True)
         if self._waiting:
-            logger.warning("%d claim writes were lost in the stop", len(self._waiting))
+            logger.warning("%d claim writes lost on shutdown", len(self._waiting))
 
     def begin(self, claim: Claim) -> WaitingWrite:
         """Queue a new claim; its result is a `Judgement`, which may be `JOIN`."""
         return self._queue(claim, begins=True)
 
     def end(self, claim: Claim) -> "asyncio.Future[bool]":
-        """Queue a claim's new state; the result tells whether the row shows it."""
+        """Queue a claim's final state; the result is whether the row has it."""
         return self._queue(claim, begins=False).result
 
     def abandon(self, item: WaitingWrite) -> None:
-        """Withdraw a claim whose caller has been told not-run or has gone.
+        """Withdraw a claim whose caller got `not-run` or has disconnected.
 
-        Guards against a claim that is applied after its caller heard not-run: its
-        repeat would find the key held by nobody. If a try may have been applied,
-        a not-run row follows it, which also keeps a delayed try from applying.
+        Guards against a claim that is applied after its caller got `not-run`: a retry
+        would find its key claimed by a request that no longer exists. If a write may
+        have been applied, a `not-run` row is written after it, which also makes the
+        conditions of a delayed write fail.
         """
         item.abandoned = True
         if item.result.done():
@@ -160,7 +163,7 @@
                 await self._write(batch)
 
     def _take_batch(self) -> list[WaitingWrite]:
-        """Take waiting items of different keys, in their order per key."""
+        """Remove queued writes of distinct keys, keeping the order within each key."""
         batch: list[WaitingWrite] = []
         keys: set[str] = set()
         left: deque[WaitingWrite] = deque()
@@ -186,8 +189,8 @@
             await self._try_again(batch)
             return
         except Exception as error:
-            # Not only `StoreResultUnknown`: whatever went wrong, the write may stand.
-            logger.info("A transaction on claims is unclear: %s", error)
+            # Not only `StoreResultUnknown`: after any error the write may be applied.
+            logger.info("Result of a claim transaction unknown: %s", error)
             self._in_flight = frozenset()
             for item in batch:
                 item.unclear = True
--- a/packages/mustardquay-node/src/mustardquay_node/columns.py
+++ b/packages/mustardquay-node/src/mustardquay_node/columns.py
@@ -1,8 +1,8 @@
-"""Columns: the chunks of many streams, side by side in a few lists.
+"""Codec of chunks, which encodes the chunks of many streams as a few parallel lists.
 
-An engine gives a token to each of its streams at every step, so chunks come in long
-rows. As one structure each they cost more to read than all else that an entry does
-for a token, but for writing it to the caller.
+An engine emits a token for each of its streams at every step, so chunks arrive in long
+runs. With one structure for each chunk, decoding costs more than anything else that an
+entry does for a token, except writing it to the caller.
 """
 
 from collections.abc import Iterator, Sequence
@@ -15,7 +15,7 @@
 
 
 def write_chunks(built: Any, chunks: Sequence[Chunk]) -> None:
-    """Write chunks, in their order, into a `Chunks` structure."""
+    """Encode chunks, in their order, into a `Chunks` structure."""
     built.streams = [chunk.stream for chunk in chunks]
     built.indexes = [chunk.index for chunk in chunks]
     built.tokens = [chunk.tokens for chunk in chunks]
@@ -24,14 +24,14 @@
 
 
 def read_chunks(read: Any) -> Iterator[Chunk]:
-    """Return the chunks; raises `ProtocolError` when the lists don't agree."""
+    """Decode chunks; raises `ProtocolError` when the lists differ in length."""
     sizes = list(read.sizes)
     data = read.data
     columns = (list(read.streams), list(read.indexes), list(read.tokens))
     lengths = {len(column) for column in (sizes, *columns)}
     if len(lengths) > 1 or sum(sizes) != len(data):
         raise ProtocolError(
-            "The lists of chunks don't agree; run the same release on both ends."
+            "The lists of chunks differ in length; run the same release on both ends."
         )
     return _cut_chunks(data, sizes, *columns)
 
--- a/packages/mustardquay-node/src/mustardquay_node/dialers.py
+++ b/packages/mustardquay-node/src/mustardquay_node/dialers.py
@@ -1,4 +1,4 @@
-"""Dialers: keep one link open from an entry to each agent it uses."""
+"""Opens and reopens the links from an entry to its agents."""
 
 import asyncio
 from collections.abc import Callable, Iterator
@@ -17,8 +17,8 @@
 class Dialer:
     """Opens a link to one agent, and a new one when it is lost.
 
-    The waits between tries grow with full jitter, so that the entries don't all
-    come back to an agent in the same moment.
+    The delay between attempts grows exponentially with full jitter, so that the
+    entries don't all reconnect to an agent at the same moment.
     """
 
     def __init__(
@@ -30,15 +30,15 @@
         random: Random,
         numbers: Iterator[int],
     ):
-        """Take the agent's place and the maker of a link from its number.
+        """Take the agent's address and a factory that makes a link from its number.
 
-        `numbers` rise over all the dialers of an entry. An agent takes no link
-        with a lower number than one it has had; if a dialer that is made anew, for
-        an agent that came back to the instance list, began at 1 again, its links
-        would be refused until it had caught up.
+        `numbers` is shared by all dialers of an entry and always increases, because
+        an agent accepts no link with a lower number than one it has had. If the new
+        dialer for an agent that returned to the instance list began at 1 again, its
+        links would be refused until it had caught up.
 
-        `failed` hears of each try that came to nothing, and whether the connection
-        was refused, which says that no process listens there.
+        `failed` is called after each failed attempt with whether the connection was
+        refused, which means that no process listens there.
         """
         self._address = address
         self._port = port
@@ -64,17 +64,17 @@
         return (self._address, self._port)
 
     def note_open(self) -> None:
-        """Note that the link was opened, so that the next is dialled at once."""
+        """Reset the delay after a link was opened; the next is dialled at once."""
         self._wait = timedelta()
 
     def start(self) -> None:
-        """Begin to dial; call again when the link was lost."""
+        """Start to dial; to be called again when the link was lost."""
         if self._closed or (self._task is not None and not self._task.done()):
             return
         self._task = asyncio.create_task(self._dial())
 
     def close(self) -> None:
-        """Close the link and dial no more."""
+        """Close the link and stop dialling."""
         self._closed = True
         if self._task is not None:
             self._task.cancel()
@@ -84,8 +84,8 @@
     async def _dial(self) -> None:
         while not self._closed:
             await asyncio.sleep(self._random.uniform(0, self._wait.total_seconds()))
-            # Also after a connection that is made and then refused in the
-            # handshake, the next try waits longer.
+            # The delay also grows after a connection that succeeds and is then
+            # refused in the handshake.
             self._wait = min(max(self._wait * 2, FIRST_WAIT), LONGEST_WAIT)
             try:
                 await self._connect()
--- a/packages/mustardquay-node/src/mustardquay_node/dispatchers.py
+++ b/packages/mustardquay-node/src/mustardquay_node/dispatchers.py
@@ -1,4 +1,4 @@
-"""Dispatchers: an entry's links to agents, and the exchanges that go over them."""
+"""Dispatches the requests of an entry to agents over its links."""
 
 import asyncio
 from collections.abc import Callable, Collection, Iterable
@@ -39,13 +39,13 @@
 
 ATTEMPT_FRAMES = (Chunk, Done, Failed, Head, Refused, Started)
 REATTACH_MARGIN = timedelta(seconds=2)
-"""Added to the time of silence, for an agent that was only slow."""
+"""Added to the heartbeat timeout, to tolerate an agent that is only slow."""
 NO_BACK_OFF = timedelta()
 
 
 @dataclass(frozen=True, slots=True)
 class DispatcherOptions:
-    """Limits of an entry's requests."""
+    """Limits on the attempts and retries of requests."""
 
     attempts: int
     retry_ratio: float
@@ -53,7 +53,7 @@
 
 @dataclass(slots=True)
 class _Peer:
-    """One agent that this entry links to."""
+    """One agent that this entry links to, with its upstream's view."""
 
     name: str
     availability_zone: str
@@ -68,7 +68,7 @@
 
 
 class Dispatcher:
-    """Chooses upstreams, keeps the links and takes frames to their exchanges."""
+    """Chooses upstreams, maintains the links and routes frames to their exchanges."""
 
     def __init__(
         self,
@@ -82,7 +82,10 @@
         make_heartbeat: Callable[[], Heartbeat],
         received: Callable[[Link, Message], None],
     ):
-        """Take the parts; `received` gets what does not belong to an attempt."""
+        """Take the dependencies.
+
+        `received` is called with the messages that don't belong to an attempt.
+        """
         self._identity = identity
         self._links = links
         self._options = options
@@ -106,25 +109,25 @@
 
     @property
     def views(self) -> list[UpstreamView]:
-        """Return what is known of the upstreams."""
+        """Return the views of all upstreams that have sent a heartbeat."""
         return [peer.view for peer in self._upstreams.values() if peer.view]
 
     @property
     def running(self) -> int:
-        """Return how many requests are on their way."""
+        """Return the number of requests in flight."""
         return len(self._exchanges)
 
     @property
     def open_links(self) -> list[Link]:
-        """Return the links that stand."""
+        """Return the open links."""
         return [peer.link for peer in self._peers.values() if peer.link is not None]
 
     def set_agents(
         self, agents: Iterable[Instance], leaving: Collection[str] = ()
     ) -> None:
-        """Link to these agents; let go of others once nothing runs there.
+        """Link to these agents, and drop others once nothing runs there.
 
-        Those that leave get no new work from now on, whatever they say themselves.
+        Agents in `leaving` get no new work from now on, whatever their heartbeats say.
         """
         for peer in self._peers.values():
             peer.leaving = peer.name in leaving
@@ -145,12 +148,12 @@
                 self._drop(peer)
 
     def find_instance(self, upstream: str) -> str:
-        """Return the instance beside an upstream; the upstream's name if unknown."""
+        """Return the instance of an upstream's agent, or the upstream if unknown."""
         peer = self._upstreams.get(upstream)
         return upstream if peer is None else peer.name
 
     def run(self, call: Call, sink: Sink) -> Exchange:
-        """Begin a request that was admitted."""
+        """Start an admitted request."""
         work = call.work
         self._budget.earn(work.customer, self.now())
         state = RequestState(
@@ -173,7 +176,7 @@
             link.beat()
 
     async def wait_until_empty(self) -> None:
-        """Wait until no request is on its way."""
+        """Wait until no request is in flight."""
         await self._empty.wait()
 
     def close(self) -> None:
@@ -206,7 +209,7 @@
     def expect_cached(self, upstream: str, work: Work) -> int:
         """Return the prompt tokens that the upstream is expected to have cached.
 
-        From now on it is expected to have the whole prompt.
+        Also records the whole prompt as expected in its cache from now on.
         """
         if not work.prefix:
             return 0
@@ -215,7 +218,7 @@
         return cached
 
     def reserve(self, exchange: Exchange) -> int:
-        """Return a new stream number, higher than all before it."""
+        """Register a new stream and return its number, higher than all before it."""
         self._last_stream += 1
         stream = self._last_stream
         peer = self._upstreams.get(exchange.state.upstream)
@@ -228,7 +231,7 @@
         return stream
 
     def release(self, stream: int) -> None:
-        """Forget a stream; its frames are dropped from now on."""
+        """Unregister a stream; its frames are dropped from now on."""
         _, peer = self._streams.pop(stream, (None, None))
         if peer is not None:
             peer.streams.discard(stream)
@@ -243,7 +246,7 @@
         return peer.link.send(message)
 
     def reach(self, upstream: str, incarnation: int) -> bool | None:
-        """Return whether this incarnation has a link; None if it is gone."""
+        """Return whether this incarnation is linked, or None if it is gone."""
         peer = self._upstreams.get(upstream)
         if peer is None or peer.incarnation != incarnation:
             return None
@@ -307,8 +310,8 @@
 
     def _note_open(self, peer: _Peer, link: Link) -> None:
         peer.link = link
-        # A heartbeat that was lost with the last link may have carried records of
-        # crashes; they are all told again.
+        # A heartbeat lost with the previous link may have contained crash records, so
+        # all of them are sent again.
         peer.crashes_sent = 0
         peer.incarnation = link.peer.incarnation
         if peer.dialer is not None:
@@ -339,8 +342,8 @@
 
     def _receive(self, peer: _Peer, link: Link, message: Message) -> None:
         if isinstance(message, ATTEMPT_FRAMES):
-            # A stream that was released is not found: late and crossed frames end
-            # here and can reach nobody else's caller.
+            # A released stream is not found, so late frames, and frames from another
+            # agent, are dropped and can't reach the caller of another request.
             found = self._streams.get(message.stream)
             if found is not None and found[1] is peer:
                 if isinstance(message, Refused):
@@ -371,7 +374,7 @@
             return
         name = peer.view.name
         if message.boot != peer.boot:
-            # A restarted engine has an empty cache and numbers its events anew.
+            # A restarted engine has an empty cache and restarts its event numbers.
             peer.boot = message.boot
             self._index.forget(name)
         self._index.apply(name, message.oldest, message.events)
--- a/packages/mustardquay-node/src/mustardquay_node/domains.py
+++ b/packages/mustardquay-node/src/mustardquay_node/domains.py
@@ -1,4 +1,4 @@
-"""Domains: the controllers of one entry, which follow what the entry is to hold."""
+"""Starts and closes the controllers of an entry as its control domains change."""
 
 import asyncio
 from collections.abc import Callable, Iterable
@@ -9,7 +9,7 @@
 
 
 class Domains:
-    """Starts and closes controllers as the domains of the entry change."""
+    """The running controllers of an entry, by control domain."""
 
     def __init__(self, make_controller: Callable[[str], Controller]):
         self._make_controller = make_controller
@@ -23,11 +23,11 @@
         )
 
     def owns(self, controller: Controller) -> bool:
-        """Return whether a controller is one of these."""
+        """Return whether a controller belongs to this entry."""
         return controller in self._controllers.values()
 
     async def set_domains(self, domains: Iterable[str]) -> None:
-        """Compete for the leases of these domains and give up those of others."""
+        """Compete for the leases of these domains and release all others."""
         wanted = set(domains)
         for domain in sorted(wanted - self._controllers.keys()):
             controller = self._make_controller(domain)
@@ -36,7 +36,7 @@
         await self._close(self._controllers.keys() - wanted)
 
     async def close(self) -> None:
-        """Give up all leases."""
+        """Release all leases."""
         await self._close(set(self._controllers))
 
     async def _close(self, domains: set[str]) -> None:
--- a/packages/mustardquay-node/src/mustardquay_node/entries.py
+++ b/packages/mustardquay-node/src/mustardquay_node/entries.py
@@ -1,4 +1,4 @@
-"""Entries: the process that callers meet."""
+"""The entry process, which serves callers and forwards their requests to agents."""
 
 import asyncio
 from collections.abc import Callable
@@ -40,11 +40,11 @@
 LIST_INTERVAL = timedelta(seconds=1)
 SWEEP_INTERVAL = timedelta(seconds=1)
 CLAIMS_INTERVAL = timedelta(seconds=1)
-"""Time between two pages of the table of claims, in search of expired ones."""
+"""Interval at which one page of the claim table is checked for expired claims."""
 
 
 class Entry(Node):
-    """One entry: callers on one side, links to agents on the other."""
+    """An entry process: a server for callers and links to agents."""
 
     def __init__(
         self,
@@ -109,7 +109,7 @@
 
     @property
     def port(self) -> int:
-        """Return the port for callers; the real one after `start`."""
+        """Return the port for callers; the port actually bound after `start`."""
         return self._server.port
 
     @property
@@ -119,7 +119,7 @@
 
     @property
     def admin_port(self) -> int:
-        """Return the admin port; the real one after `start`."""
+        """Return the admin port; the port actually bound after `start`."""
         return self._admin.port
 
     @property
@@ -128,7 +128,7 @@
         return self._authorities.held
 
     def list_reachable(self) -> set[str]:
-        """Return the names of the upstreams that take work from here."""
+        """Return the names of the upstreams that this entry can send work to."""
         return {
             view.name
             for view in self._dispatcher.views
@@ -136,7 +136,7 @@
         }
 
     async def start(self) -> None:
-        """Begin to link, to follow the configuration and to serve callers."""
+        """Start the links, the configuration updates and the server for callers."""
         parts = self._parts
         self._watch(
             {
@@ -160,10 +160,11 @@
         parts.events.record("process.started")
 
     async def drain(self) -> None:
-        """Refuse new callers and wait until every request has its outcome.
+        """Refuse new requests and wait until every request has its outcome.
 
-        What exceeds the time limit of the settings is left: its callers see the
-        connection break, and repeats with an idempotency key hear what became of it.
+        Requests that outlast the drain timeout of the settings are abandoned: the
+        connections of their callers break, and a retry with the same idempotency key
+        gets the recorded outcome.
         """
         self._draining = True
         self._parts.events.record("drain.started")
@@ -183,7 +184,7 @@
         await self.stop()
 
     async def stop(self) -> None:
-        """Stop at once; what runs is lost."""
+        """Stop at once; requests in flight are lost."""
         self._draining = True
         self._disconnect()
         for task in self._tasks:
@@ -207,7 +208,7 @@
         return self._keeper.configuration
 
     async def apply_edit(self, edit: Edit) -> int:
-        """Bring an operator's edit into force and return its version."""
+        """Apply an operator's edit and return the version that contains it."""
         version = await self._editor.propose(edit)
         self._parts.events.record(
             "configuration.edited", version=version, author=edit.author
@@ -215,7 +216,7 @@
         return version
 
     async def preview_edit(self, edit: Edit) -> list[str]:
-        """Return what an operator's edit would cost, without applying it."""
+        """Return what the checks report on an edit, such as its cost; apply nothing."""
         return await self._editor.preview(edit)
 
     def _make_server(self) -> CallerServer:
@@ -262,8 +263,8 @@
         spread_configuration(self._keeper, link, message)
 
     async def _sweep_claims(self) -> None:
-        # A few entries of each availability zone do it, or its reads would grow
-        # with the fleet.
+        # Only a few entries of each availability zone sweep, so that the number of
+        # reads doesn't grow with the fleet.
         if self._is_reader():
             await self._sweeper.sweep()
 
@@ -287,8 +288,8 @@
         try:
             instances = await self._parts.platform.instances.list_instances()
         except MustardquayError:
-            # Without the list the links stand as they are; heartbeats tell who
-            # lives, and who leaves.
+            # Without a new list the links stay as they are; heartbeats still show
+            # which processes are alive and which are draining.
             return
         await self._take_list(instances)
 
@@ -308,7 +309,7 @@
         await self._authorities.follow(entries, agents)
 
     def list_faults(self) -> tuple[str, ...]:
-        """Return why this process takes no new work, one sentence each."""
+        """Return the reasons why this process takes no new work, a sentence each."""
         faults = []
         if self._draining:
             faults.append("The entry drains.")
--- a/packages/mustardquay-node/src/mustardquay_node/exchanges.py
+++ b/packages/mustardquay-node/src/mustardquay_node/exchanges.py
@@ -1,4 +1,4 @@
-"""Exchanges: carry out what the state machine of one request decides."""
+"""Executes the actions that the state machine of a request decides on."""
 
 import asyncio
 from collections.abc import Callable
@@ -36,14 +36,14 @@
 __all__ = ["Call", "Dispatch", "Exchange", "Sink"]
 
 CREDIT_STEP = 128 * 1024
-"""Bytes that the caller takes before the agent is told."""
+"""Bytes that the caller takes before the agent gets credit for more."""
 RESUME_LIMIT = 4 * 1024 * 1024
-"""Bytes of a stream that are kept to resume it; longer ones can't be resumed."""
+"""Bytes of a stream kept for resuming it; a longer stream can't be resumed."""
 
 
 @dataclass(frozen=True, slots=True)
 class Call:
-    """One request that was admitted."""
+    """An admitted request."""
 
     work: Work
     method: str
@@ -54,45 +54,45 @@
     version: int
     """Configuration version under which it was admitted."""
     claim: bytes = b""
-    """Claim of work that must not be repeated, in JSON."""
+    """Claim of non-repeatable work, in JSON."""
 
 
 class Sink(Protocol):
-    """Where the answer goes."""
+    """Receives the answer of a request."""
 
     def take_head(self, status: int, headers: tuple[Header, ...]) -> None:
-        """Take status and headers; comes once at the most."""
+        """Receive status and headers; never again once a stream has begun."""
 
     def take_data(self, data: bytes) -> None:
-        """Take the next part of the answer."""
+        """Receive the next part of the answer."""
 
     def answer_early(self, refusal: Refusal) -> None:
-        """Tell the caller that the outcome is unknown; the work goes on."""
+        """Answer the caller with an unknown outcome; the work goes on."""
 
     def finish(self, end: Finish) -> None:
-        """Take the outcome; nothing follows."""
+        """Receive the outcome; nothing follows."""
 
 
 class Dispatch(Protocol):
-    """What an exchange needs of the process it runs in."""
+    """The dispatcher, as an exchange uses it."""
 
     def choose(self, call: Call, avoid: frozenset[str]) -> UpstreamView | Refusal:
         """Return the upstream for the next attempt."""
 
     def reserve(self, exchange: "Exchange") -> int:
-        """Return the stream number of a new attempt."""
+        """Register a new attempt's stream and return its number."""
 
     def release(self, stream: int) -> None:
-        """Forget a stream; its frames are dropped from now on."""
+        """Unregister a stream; its frames are dropped from now on."""
 
     def send(self, upstream: str, message: Message) -> bool:
         """Send over the upstream's link; False when none is open."""
 
     def reach(self, upstream: str, incarnation: int) -> bool | None:
-        """Return whether this incarnation has a link; None if it is gone."""
+        """Return whether this incarnation is linked, or None if it is gone."""
 
     def expect_cached(self, upstream: str, work: Work) -> int:
-        """Return the prompt tokens that the upstream should have cached."""
+        """Return the prompt tokens that the upstream is expected to have cached."""
 
     def now(self) -> timedelta:
         """Return the monotonic time."""
@@ -102,7 +102,7 @@
 
 
 class Exchange:
-    """One request on its way; not for use after its end."""
+    """One request in flight, from admission to its outcome; can't be reused."""
 
     def __init__(
         self,
@@ -131,28 +131,28 @@
 
     @property
     def call(self) -> Call:
-        """Return what the request asks for."""
+        """Return the admitted request."""
         return self._call
 
     @property
     def state(self) -> RequestState:
-        """Return the state machine."""
+        """Return the state machine of the request."""
         return self._state
 
     @property
     def stream(self) -> int:
-        """Return the stream number of the present attempt."""
+        """Return the stream number of the current attempt; 0 if there is none."""
         return self._stream
 
     def start(self) -> None:
-        """Begin, and arm the deadline."""
+        """Start the request and its deadline timer."""
         remaining = self._call.work.finish_by - self._dispatch.now()
         seconds = max(remaining.total_seconds(), 0)
         self._deadline = self._loop.call_later(seconds, self._pass_deadline)
         self._act(self._state.start())
 
     def receive(self, frame: AttemptFrame) -> None:
-        """Take a frame of the present stream."""
+        """Process a frame; those of earlier streams are dropped."""
         if frame.stream != self._stream:
             return
         if self._reattach is not None:
@@ -161,25 +161,25 @@
         self._act(self._state.frame_received(self._stream_number, frame))
 
     def lose_link(self) -> None:
-        """Go on after the link of the present attempt was lost."""
+        """Handle the loss of the current attempt's link."""
         self._act(self._state.link_lost())
 
     def find_link(self) -> None:
-        """Ask for the rest of the answer, now that a link is open again."""
+        """Request the rest of the answer when a link is open again."""
         if self._reattach is not None:
             self._send_reattach(self._reattach)
 
     def lose_agent(self) -> None:
-        """Go on after the agent's process was found to be gone."""
+        """Stop waiting for a link to the agent, whose process has ended."""
         if self._reattach is not None:
             self._fail_reattach()
 
     def leave(self) -> None:
-        """Note that the caller is gone."""
+        """Handle the disconnection of the caller."""
         self._act(self._state.caller_left())
 
     def note_taken(self, size: int) -> None:
-        """Note that the caller has taken `size` bytes; lets more be sent."""
+        """Count `size` bytes the caller has taken, and grant the agent credit."""
         self._taken += size
         if self._taken >= CREDIT_STEP and self._state.phase is not Phase.ENDED:
             self._dispatch.send(self._state.upstream, Credit(self._stream, self._taken))
@@ -255,7 +255,7 @@
         call = self._call
         work = call.work
         now = self._dispatch.now()
-        # What was begun is worth going on with, also after the first token's time.
+        # A stream that has begun is worth resuming also after the first-token deadline.
         late = work.finish_by if action.resume else work.start_by
         return Attempt(
             stream=self._stream,
--- a/packages/mustardquay-node/src/mustardquay_node/frames.py
+++ b/packages/mustardquay-node/src/mustardquay_node/frames.py
@@ -1,6 +1,6 @@
-"""Frames: messages to bytes and back, with Cap'n Proto as the codec.
+"""Codec of the frames on a link, in Cap'n Proto.
 
-Durations travel in microseconds.
+Durations are encoded in microseconds.
 """
 
 from collections.abc import Callable, Sequence
@@ -50,12 +50,12 @@
 WIRE = capnp.load(str(Path(__file__).with_name("wire.capnp")))
 
 TRAVERSAL_LIMIT = 64 * 1024 * 1024
-"""Words that one decoded message may have read, against decompression bombs."""
+"""Traversal limit in words for one message, against amplification attacks."""
 
 
 @dataclass(frozen=True, slots=True)
 class Hello:
-    """Either way on a new link: who I am, and the proof that I belong."""
+    """Handshake message, sent both ways: the sender's identity and its proof."""
 
     process: str
     incarnation: int
@@ -63,7 +63,7 @@
     nonce: bytes
     proof: bytes
     link: int
-    """Number of the link among those of the entry to this agent, from 1."""
+    """Number that the entry gave the link, from 1; higher for each new link."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -76,7 +76,7 @@
 
 
 def encode_batch(batch: Batch) -> bytes:
-    """Return the batch as bytes, without the length before it."""
+    """Return the encoded batch, without its length prefix."""
     built = WIRE.Batch.new_message()
     built.sequence = batch.sequence
     built.physical = batch.stamp.physical
@@ -101,7 +101,7 @@
 
 
 def decode_batch(data: bytes) -> Batch:
-    """Return the batch in `data`; raises `ProtocolError` on anything else."""
+    """Return the batch in `data`; raises `ProtocolError` if it can't be decoded."""
     try:
         with WIRE.Batch.from_bytes(
             data, traversal_limit_in_words=TRAVERSAL_LIMIT
--- a/packages/mustardquay-node/src/mustardquay_node/generations.py
+++ b/packages/mustardquay-node/src/mustardquay_node/generations.py
@@ -1,4 +1,4 @@
-"""Generations: the OpenAI-compatible API, streamed and not."""
+"""Handlers of the OpenAI-compatible API, with and without streaming."""
 
 import asyncio
 from datetime import timedelta
@@ -32,12 +32,12 @@
 
 
 class GenerationHandler(CallerHandler):
-    """A call of a model; each kind says what its body is."""
+    """Base of the handlers that generate text; subclasses set the body's type."""
 
     body_type: type[GenerationBody] = GenerationBody
 
     async def post(self) -> None:
-        """Answer a generation, streamed or whole."""
+        """Generate an answer, as a stream or as a whole."""
         await self.serve(self._generate)
 
     async def _generate(self) -> None:
@@ -70,10 +70,10 @@
         return True
 
     def _can_hold(self, body: GenerationBody) -> bool:
-        """Tell whether the models can hold as many tokens as the caller asks for.
+        """Check that the requested number of output tokens fits the models.
 
-        Guards against a limit beyond any memory: the engine that takes it plans for
-        the tokens, answers nobody any more and grows until it is killed.
+        Guards against a limit that exceeds any engine's memory: the engine would plan
+        for that many tokens, stop answering and grow until it is killed.
         """
         limit = self.parts.settings.output_limit
         if (body.output_limit or 0) <= limit:
@@ -144,30 +144,31 @@
         self._record_stream(call, sink, exchange.state.tokens_delivered)
 
     def drop(self) -> None:
-        """Close the connection of a caller that takes nothing in."""
+        """Close the connection of a caller that doesn't read its stream."""
         self.parts.events.record("caller.dropped", request=self.request_id)
         self.request.connection.close()
-        # Tornado tells only of connections that the caller has closed; without
-        # this the request would wait for good, and so would a drain.
+        # Tornado reports only connections that the caller has closed. Without this
+        # call the request would wait forever, and so would a drain.
         self.on_connection_close()
 
     def _begin_stream(self, headers: tuple[Header, ...]) -> None:
         self.set_status(200)
         self.set_header("Content-Type", "text/event-stream")
         self.set_header("Cache-Control", "no-cache")
-        # The answer follows in this response; it is whole once its end mark has
-        # come, and a stream that breaks before says so in an event.
+        # The outcome header is sent before the answer. The answer is complete only
+        # with its end mark; a stream that breaks earlier ends with an error event.
         self.set_header(OUTCOME_HEADER, Outcome.ANSWERED.value)
 
     def _write(self, data: bytes) -> "asyncio.Future[None]":
         if self._headers_written:
-            # Past the headers, `flush` only passes data on to the connection; that
-            # costs as much again for each token.
+            # After the headers, `flush` would only pass the data on to the
+            # connection, at twice the cost for each token.
             future = self.request.connection.write(data)
         else:
             self.write(data)
             future = self.flush()
-        # A caller that is gone shows here too; on_connection_close deals with it.
+        # The write also fails for a caller that has disconnected. The exception is
+        # only retrieved here, since `on_connection_close` handles it.
         if future.done():
             future.exception()
         else:
@@ -191,8 +192,8 @@
             await self.flush()
         except StreamClosedError:
             return
-        # Without the last chunk of the transfer coding, so that no client takes
-        # the answer for a whole one.
+        # Closed without the last chunk of the transfer coding, so that no client
+        # takes the answer for a complete one.
         self.request.connection.close()
 
     def _finish_quietly(self, rest: bytes) -> None:
@@ -218,7 +219,7 @@
 
 
 def read_usage(body: bytes) -> int:
-    """Return the output tokens that an answer names, 0 when it names none.
+    """Return the output tokens that an answer reports, 0 without a report.
 
     >>> read_usage(b'{"usage": {"completion_tokens": 4}}'), read_usage(b"[]")
     (4, 0)
@@ -233,7 +234,7 @@
 
 
 def name_adapter(body: bytes, adapter: str) -> bytes:
-    """Return the body for an engine, which knows an adapter by its own name.
+    """Return the body with the adapter as its model, as engines expect it.
 
     >>> name_adapter(b'{"model": "reader:drafts", "prompt": ""}', "drafts")
     b'{"model":"drafts","prompt":""}'
@@ -256,12 +257,12 @@
 
 
 class ModelsHandler(CallerHandler):
-    """`/v1/models`: what the caller's contract allows."""
+    """`/v1/models`: the models and adapters of the caller's contract."""
 
     operation = "models"
 
     async def get(self) -> None:
-        """List the models, each also with the adapters."""
+        """List the models, alone and with each adapter."""
         await self.serve(self._list)
 
     async def _list(self) -> None:
--- a/packages/mustardquay-node/src/mustardquay_node/handshakes.py
+++ b/packages/mustardquay-node/src/mustardquay_node/handshakes.py
@@ -1,8 +1,8 @@
-"""Handshakes: a process proves on each new link that it belongs to the site.
+"""Mutual authentication of the two ends of a new link.
 
 Both ends hold the shared keys of the settings. Each sends a random nonce, and a
-keyed hash over both nonces and both names. Without it, anybody who reaches the
-port could give an agent work; with it, a recorded handshake is of no use on
+keyed hash (HMAC) over both nonces and both names. Without it, anybody who can reach
+the port could send work to an agent. A recorded handshake can't be replayed on
 another link, since the other end's nonce differs.
 """
 
@@ -15,7 +15,7 @@
 __all__ = ["NONCE_SIZE", "find_key", "make_proof"]
 
 NONCE_SIZE = 32
-"""Bytes of a nonce."""
+"""Size of a nonce in bytes."""
 
 
 def make_proof(
@@ -43,7 +43,10 @@
     verifier: str,
     nonces: tuple[bytes, bytes],
 ) -> str:
-    """Return the key that the proof was made with; raises `ProtocolError`."""
+    """Return the key that the proof was made with.
+
+    Raises `ProtocolError` if it was made with none of `keys`.
+    """
     for key in keys:
         expected = make_proof(key, side, prover, verifier, nonces)
         if hmac.compare_digest(expected, proof):
--- a/packages/mustardquay-node/src/mustardquay_node/heartbeats.py
+++ b/packages/mustardquay-node/src/mustardquay_node/heartbeats.py
@@ -1,4 +1,4 @@
-"""Heartbeats: the codec of what processes tell each other at every beat."""
+"""Codec of heartbeats and cache events."""
 
 from collections.abc import Iterable, Sequence
 from datetime import timedelta
@@ -22,12 +22,12 @@
 
 
 def to_microseconds(duration: timedelta) -> int:
-    """Return a duration as it travels; a negative one as 0, at most a day."""
+    """Return a duration as encoded in frames: 0 if negative, at most a day."""
     return max(min(duration, LONGEST) // MICROSECOND, 0)
 
 
 def write_heartbeat(frame: Any, heartbeat: Heartbeat) -> None:
-    """Write a heartbeat into a frame."""
+    """Encode a heartbeat into a frame."""
     built = frame.init("heartbeat")
     built.version = heartbeat.version
     built.upstream = heartbeat.upstream
@@ -50,7 +50,7 @@
 
 
 def read_heartbeat(read: Any) -> Heartbeat:
-    """Return the heartbeat in a frame; raises `ValueError` for a role unknown here."""
+    """Decode the heartbeat of a frame; raises `ValueError` for an unknown role."""
     return Heartbeat(
         version=read.version,
         upstream=read.upstream,
@@ -101,7 +101,7 @@
 
 
 def write_cache_events(frame: Any, message: CacheEvents) -> None:
-    """Write an upstream's cache events into a frame."""
+    """Encode an upstream's cache events into a frame."""
     built = frame.init("cacheEvents")
     built.boot = message.boot
     built.oldest = message.oldest
@@ -113,7 +113,7 @@
 
 
 def read_cache_events(read: Any) -> CacheEvents:
-    """Return the cache events in a frame."""
+    """Decode the cache events of a frame."""
     events = tuple(
         CacheEvent(event.number, event.stored, event.piece) for event in read.events
     )
--- a/packages/mustardquay-node/src/mustardquay_node/links.py
+++ b/packages/mustardquay-node/src/mustardquay_node/links.py
@@ -1,9 +1,9 @@
-"""Links: one TCP connection between an entry and an agent, with heartbeats.
+"""A link is a TCP connection between an entry and an agent, with heartbeats.
 
-A link is opened by the entry. It carries batches of messages both ways, each
-behind its length, numbered from 0. A link on which nothing arrives for the time of
-silence is closed by whoever notices, although TCP may call it healthy: something
-between the ends may have forgotten the connection.
+The entry opens it. Both ends send batches of messages, each with a length prefix and
+numbered from 0. An end that receives nothing for the heartbeat timeout closes the
+link, even if TCP reports no error, because a device between the ends, such as a
+firewall, may have dropped the connection's state.
 """
 
 import asyncio
@@ -25,37 +25,37 @@
 
 LENGTH_SIZE = 4
 HELLO_LIMIT = 4096
-"""Bytes that an end which has not proved itself may send in one frame."""
+"""Frame limit in bytes for a peer that has not authenticated."""
 FINISH_TIMEOUT = timedelta(seconds=2)
 SEND_LIMIT = 64 * 1024 * 1024
-"""Bytes that may wait in a link's buffer before the peer counts as stuck."""
+"""Bytes that a link's write buffer may hold before the link is closed."""
 
 
 @dataclass(frozen=True, slots=True)
 class Identity:
-    """Who a process is on its links."""
+    """Identity of a process on its links."""
 
     process: str
     incarnation: int
     availability_zone: str
     link: int = 0
-    """Number that an entry gives the link; rises with each link to an agent."""
+    """Number that the entry gives the link; higher for each new link."""
 
 
 @dataclass(frozen=True, slots=True)
 class LinkOptions:
-    """Limits and keys of the links of one process."""
+    """Keys, intervals and limits of the links of a process."""
 
     keys: Sequence[str]
     heartbeat: timedelta
     silence: timedelta
     frame_limit: int
     gather: timedelta = timedelta(milliseconds=1)
-    """Least time between two batches; a message after a pause goes at once."""
+    """Minimum interval between two batches; after a longer pause there is no delay."""
 
 
 class Link(asyncio.Protocol):
-    """One end of a link; calls back when it opens, receives or is lost."""
+    """One end of a link, with callbacks for opening, messages and loss."""
 
     def __init__(
         self,
@@ -96,30 +96,30 @@
 
     @property
     def is_open(self) -> bool:
-        """Return whether the peer has proved itself and the link stands."""
+        """Return whether the peer has authenticated and the link is not closed."""
         return self._open and not self._closed
 
     @property
     def peer(self) -> Hello:
-        """Return who the peer is; only while open."""
+        """Return the peer's handshake message; raises `ProtocolError` before it."""
         if self._peer is None:
             raise ProtocolError("The link has no peer yet; wait until it is open.")
         return self._peer
 
     def send(self, message: Message) -> bool:
-        """Send with the next batch; False when the link is not open."""
+        """Queue a message for the next batch; False when the link is not open."""
         if not self.is_open:
             return False
         self._queue(message)
         return True
 
     def beat(self) -> None:
-        """Send a heartbeat now, since something in it has changed."""
+        """Queue a heartbeat at once, because its contents have changed."""
         if self.is_open:
             self._queue(self._make_heartbeat(self))
 
     def close(self, reason: str) -> None:
-        """Close the link at once and tell the owner."""
+        """Close the link at once and notify the owner."""
         if self._closed:
             return
         self._closed = True
@@ -131,11 +131,11 @@
         self._lost(self, reason)
 
     async def finish(self) -> None:
-        """Send all that is queued and wait until the peer has closed the link.
+        """Send everything queued and wait until the peer has closed the link.
 
-        To close at once could lose the last frames: bytes of the peer that are
-        still unread here make TCP reset the connection, and the peer would drop
-        what it has not read yet, such as the end of an answer.
+        Closing at once could lose the last frames: if bytes of the peer are still
+        unread here, TCP resets the connection, and the peer drops what it has not
+        read yet, such as the end of an answer.
         """
         if not self.is_open or self._transport is None:
             self.close("the link was not open")
@@ -148,11 +148,12 @@
         except TimeoutError:
             self.close("the peer did not close the link")
         except OSError as error:
-            # The peer has reset the connection and the loop has not told yet.
+            # The peer has reset the connection, and the event loop has not called
+            # `connection_lost` yet.
             self.close(f"connection lost: {error}")
 
     def flush(self) -> None:
-        """Write what was queued, as one batch."""
+        """Write all queued messages as one batch."""
         self._flush_scheduled = False
         if self._closed or not self._outgoing or self._transport is None:
             return
@@ -163,12 +164,12 @@
         self._flushed_at = self._loop.time()
         self._transport.write(len(data).to_bytes(LENGTH_SIZE, "big") + data)
         if self._transport.get_write_buffer_size() > SEND_LIMIT:
-            # A peer that was stopped takes nothing in, which would show here as
-            # memory that grows until this process dies with all its requests.
-            self.close("the peer takes nothing in")
+            # A suspended peer reads nothing. The buffer would grow until this
+            # process runs out of memory and dies with all its requests.
+            self.close("the peer does not read")
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Start the handshake; the entry speaks first."""
+        """Start the handshake; the entry sends the first message."""
         assert isinstance(transport, asyncio.Transport)
         self._transport = transport
         connection = transport.get_extra_info("socket")
@@ -180,7 +181,7 @@
             self._say_hello(b"")
 
     def data_received(self, data: bytes) -> None:
-        """Cut the bytes into batches and hand on their messages."""
+        """Split the bytes into batches and deliver their messages."""
         self._silent = 0.0
         self._buffer += data
         try:
@@ -189,7 +190,7 @@
             self.close(str(error))
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Tell the owner, unless this end closed the link."""
+        """Notify the owner, unless this end closed the link."""
         self.close(f"connection lost: {exc or 'closed by the peer'}")
 
     def _take_batches(self) -> None:
@@ -216,8 +217,8 @@
         batch = decode_batch(data)
         if batch.sequence != self._expected:
             raise ProtocolError(
-                f"Frame {batch.sequence} came in place of {self._expected}; the link "
-                "is closed and opened again."
+                f"Got frame {batch.sequence} instead of {self._expected}; the link is "
+                "closed and opened again."
             )
         self._expected += 1
         for message in batch.messages:
@@ -226,16 +227,16 @@
             if isinstance(message, Hello):
                 self._take_hello(message)
             elif not self._open:
-                raise ProtocolError("A message came before the handshake.")
+                raise ProtocolError("A message arrived before the handshake.")
             else:
                 self._received(self, message)
-        # Only a peer that has proved itself may move this process's clock.
+        # Only an authenticated peer may advance this process's clock.
         if self._open:
             self._clock.merge(batch.stamp)
 
     def _take_hello(self, hello: Hello) -> None:
         if self._open:
-            raise ProtocolError("A second handshake came on an open link.")
+            raise ProtocolError("A second handshake arrived on an open link.")
         if self._side == "entry":
             self._take_answer(hello)
         elif self._peer is None:
@@ -309,8 +310,8 @@
             self._schedule_flush()
 
     def _schedule_flush(self) -> None:
-        # The tokens of one step of an engine come over some turns of the loop. A
-        # batch for each turn costs both ends more than what is in it.
+        # The tokens of one engine step arrive over several iterations of the event
+        # loop. A batch for each iteration costs both ends more than its contents.
         gather = self._options.gather.total_seconds()
         wait = self._flushed_at + gather - self._loop.time()
         if wait > 0:
@@ -323,23 +324,23 @@
         self._timer = self._loop.call_later(interval, self._beat)
 
     def _beat(self) -> None:
-        # A connection that was forgotten on its way looks healthy to TCP for many
-        # minutes. The peer beats at all times, so silence means that this
-        # connection is of no use, and a new one is worth a try.
+        # After a device on the path has dropped the connection's state, TCP reports
+        # no error for many minutes. The peer always sends heartbeats, so without any
+        # data the connection is unusable and a new one is worth a try.
         self._silent += self._measure_beat()
         if self._silent > self._options.silence.total_seconds():
-            self.close("no heartbeat within the time of silence")
+            self.close("no heartbeat within the heartbeat timeout")
             return
         if self._open:
             self._queue(self._make_heartbeat(self))
         self._schedule_beat()
 
     def _measure_beat(self) -> float:
-        """Return the seconds since the last beat, without pauses.
+        """Return the seconds since the last call, with long pauses capped.
 
-        A process that was paused, or starved of processor time, finds that nothing
-        came for long, although its peers were well and what they sent waits in the
-        socket. Were the pause counted, it would close all its links as it wakes.
+        A process that was suspended, or had no processor time, has received nothing for
+        long although its peers are healthy and their data waits in the sockets. If the
+        pause counted in full, the process would close all its links on resuming.
         """
         now = self._loop.time()
         elapsed = now - self._beaten
--- a/packages/mustardquay-node/src/mustardquay_node/recorders.py
+++ b/packages/mustardquay-node/src/mustardquay_node/recorders.py
@@ -1,8 +1,8 @@
-"""Recorders: claims and answers of non-repeatable work in the table service.
+"""Records claims and answers of non-repeatable work in the table service.
 
 The decisions are in `mustardquay.claims`, the grouped writes in
-`mustardquay_node.claim_writers`; this module waits, follows running attempts of this
-and other entries, and keeps long answers in the object store.
+`mustardquay_node.claim_writers`. This module waits for writes, polls the claims that
+attempts of this and other entries hold, and keeps long answers in the object store.
 """
 
 import asyncio
@@ -31,17 +31,18 @@
 __all__ = ["Recorder"]
 
 BODY_LIMIT = 16 * 1024
-"""Bytes of an answer that are kept in its row; longer ones become objects."""
+"""Longest body in bytes that is kept in the row; longer ones become objects."""
 POLL_FIRST = timedelta(milliseconds=50)
 POLL_CAP = timedelta(seconds=1)
 RETRY_AFTER = timedelta(seconds=2)
 
 
 class Recorder:
-    """Claims keys, records answers and replays them, for one process.
+    """Claims idempotency keys, and records and replays answers, for one process.
 
-    `name` differs for every incarnation of every process and `random` is seeded by
-    the system, since a claim that was read back is known by its id.
+    A process recognises its own claim by the id when it reads the row. To make ids
+    unique, `name` differs for every incarnation of every process, and `random` is
+    seeded by the operating system.
     """
 
     def __init__(
@@ -66,22 +67,23 @@
 
     @property
     def transactions(self) -> int:
-        """Return how many transactions were sent, for metrics."""
+        """Return the number of transactions sent, for metrics."""
         return self._writer.transactions
 
     @property
     def waiting(self) -> int:
-        """Return how many writes wait for a transaction, for metrics."""
+        """Return the number of queued writes, for metrics."""
         return self._writer.waiting
 
     def start(self) -> None:
-        """Begin to write."""
+        """Start the task that writes."""
         self._writer.start()
 
     async def close(self, timeout: timedelta = timedelta(seconds=10)) -> None:
-        """Write what waits, as far as the store takes it in time, and stop.
+        """Write what is queued, as far as the timeout permits, and stop.
 
-        What is lost stays claimed: its repeats hear `unknown`, and never run.
+        A claim whose final state is lost stays claimed: retries under its key get
+        `unknown` and never run.
         """
         if self._puts:
             await asyncio.wait(self._puts, timeout=timeout.total_seconds())
@@ -99,10 +101,10 @@
     ) -> Judgement:
         """Return what a request with this key may do; never `JOIN`.
 
-        `give_up` is the monotonic instant until which a store that is down is
-        waited for; then the refusal is a true not-run, since nothing was sent.
-        Another attempt under the key is followed until `finish_by`, the monotonic
-        instant of the request's deadline.
+        Until `give_up`, a monotonic instant, an unavailable store is waited for. The
+        request is then refused as `not-run`, which is certain since nothing was sent.
+        If another attempt holds the key, its claim is polled until `finish_by`, the
+        monotonic instant of the request's deadline.
         """
         while True:
             judged = await self._write_claim(key, digest, attempt, give_up, finish_by)
@@ -114,10 +116,11 @@
     def record_answer(
         self, claim: Claim, answer: RecordedAnswer
     ) -> "asyncio.Future[bool]":
-        """Record the whole answer; the caller of the work need not wait for it.
+        """Record the complete answer; the caller need not wait for the write.
 
-        The future tells whether it stands in the row. While the store is down the
-        write waits; until it is done, repeats join or hear `unknown`.
+        The future's result is whether the row has the answer. While the store is
+        unavailable the write stays queued; until it is done, retries under the key wait
+        for it or get `unknown`.
         """
         if len(answer.body) <= BODY_LIMIT:
             return self._end(claim, ClaimState.ANSWERED, answer)
@@ -129,15 +132,15 @@
         return result
 
     def record_unknown(self, claim: Claim) -> "asyncio.Future[bool]":
-        """Record that nobody will learn the answer, so that repeats hear it."""
+        """Record that the answer is lost, so that retries get `unknown`."""
         return self._end(claim, ClaimState.UNKNOWN)
 
     def release(self, claim: Claim) -> "asyncio.Future[bool]":
-        """Record a true not-run, after which the key may be claimed again."""
+        """Record that the work certainly was not run; the key may be claimed again."""
         return self._end(claim, ClaimState.NOT_RUN)
 
     async def look_up(self, key: ClaimKey) -> Claim | None:
-        """Read the claim under a key; raises `StoreUnavailable`."""
+        """Return the claim of a key, None without one; raises `StoreUnavailable`."""
         row = await self._tables.read(CLAIMS, key.row_key)
         return None if row is None else decode_claim(key, row)
 
@@ -179,7 +182,7 @@
         )
 
     async def _follow(self, held: Claim, finish_by: timedelta) -> Judgement:
-        """Follow the row of a running attempt, of this or another entry."""
+        """Poll the claim of a running attempt until it is final or out of time."""
         changed = asyncio.Event()
         watchers = self._changed.setdefault(held.key.row_key, set())
         watchers.add(changed)
@@ -208,7 +211,7 @@
         changed.clear()
 
     async def _judge_again(self, held: Claim) -> Judgement | None:
-        """Return the word on a claim that is followed, or None to go on.
+        """Return the result for a claim that is polled, or None to go on polling.
 
         `JOIN` means that the claim was released, so that the key is free again.
         """
@@ -245,7 +248,8 @@
                 await self._objects.put(stored.object_name, body)
                 break
             except (StoreUnavailable, StoreResultUnknown):
-                # Objects never change, so that an unclear put is repeated as it is.
+                # Objects are immutable, so a put with an unknown result can be
+                # repeated unchanged.
                 await asyncio.sleep(self._choose_pause(retry))
         written = await self._end(claim, ClaimState.ANSWERED, stored)
         if not result.done():
--- a/packages/mustardquay-node/src/mustardquay_node/resumes.py
+++ b/packages/mustardquay-node/src/mustardquay_node/resumes.py
@@ -1,4 +1,4 @@
-"""Resumes: the body with which another engine goes on with a broken stream."""
+"""Request bodies that let another engine resume an interrupted stream."""
 
 from typing import Any
 
@@ -11,10 +11,10 @@
 
 
 def build_resumed_body(body: bytes, delivered: bytes) -> bytes | None:
-    """Return the body that asks for what follows the events already delivered.
+    """Return the body that requests what follows the events already delivered.
 
-    None when an engine can't go on from there: more than one choice, tool calls or
-    an answer whose text was already at its end.
+    Returns None when an engine can't resume from there: with more than one choice,
+    with tool calls or when the text was already complete.
 
     >>> event = b'data: {"choices": [{"index": 0, "text": "a b"}]}\\n\\n'
     >>> build_resumed_body(b'{"prompt": "x"}', event)
--- a/packages/mustardquay-node/src/mustardquay_node/services.py
+++ b/packages/mustardquay-node/src/mustardquay_node/services.py
@@ -1,4 +1,4 @@
-"""Services: calls of plain services, among them those that may run only once."""
+"""Handler of calls to plain services, including those that may run only once."""
 
 from dataclasses import replace
 from datetime import timedelta
@@ -31,20 +31,20 @@
 __all__ = ["SERVICE_PREFIX", "ServiceHandler", "is_repeatable", "name_service"]
 
 SERVICE_PREFIX = "services/"
-"""Before a service's name among the models of upstreams, to keep them apart."""
+"""Prefix of service names in the model lists of upstreams, to tell them from models."""
 KEY_HEADER = "Idempotency-Key"
 REPLAYED_HEADER: Header = ("Idempotent-Replayed", "true")
 LIFETIME_HEADER = "Mustardquay-Key-Lifetime"
-"""Tells the caller for how many seconds its key is remembered."""
+"""Tells the caller for how many seconds its idempotency key is stored."""
 
 
 def name_service(service: str) -> str:
-    """Return the name of a service among the models of upstreams."""
+    """Return the name of a service in the model lists of upstreams."""
     return SERVICE_PREFIX + service
 
 
 def is_repeatable(settings: ServiceSettings, method: str, path: str) -> bool:
-    """Return whether a call may be run more than once.
+    """Return whether a call is idempotent, so that it may be run more than once.
 
     >>> is_repeatable(ServiceSettings(idempotent_paths=("/hours",)), "POST", "/hours")
     True
@@ -146,8 +146,8 @@
         self.parts.dispatcher.run(call, sink)
         first = await sink.first
         if not sink.ended.done():
-            # The caller's time is over. The work goes on, and its answer is still
-            # recorded for a repeat with the same key.
+            # The request's deadline has passed. The work goes on, and its answer is
+            # still recorded for a retry with the same key.
             self.send_outcome(first)
         end = await sink.ended
         self._record_claim(claim, end, sink)
@@ -180,8 +180,9 @@
         )
         data = self.body
         method = self.request.method or "GET"
-        # The customer counts here: two may well send the same short body, and one
-        # of them must not be refused for what the other's service does.
+        # The fingerprint includes the customer: two customers may well send the same
+        # short body, and one of them must not be quarantined for crashes of the
+        # other's service.
         named = f"{contract.customer}\n{self.model}\n{method}\n{target}\n".encode()
         deadlines = set_deadlines(contract, self.arrived)
         work = Work(
--- a/packages/mustardquay-node/src/mustardquay_node/sweepers.py
+++ b/packages/mustardquay-node/src/mustardquay_node/sweepers.py
@@ -1,4 +1,4 @@
-"""Sweepers: delete the rows of claims that have expired."""
+"""Deletes the rows of claims that have expired."""
 
 import logging
 
@@ -10,16 +10,16 @@
 __all__ = ["ClaimSweeper"]
 
 PAGE = 500
-"""Rows that are read at a time."""
+"""Rows read at a time."""
 
 logger = logging.getLogger(__name__)
 
 
 class ClaimSweeper:
-    """Goes round the table of claims, a page with each call.
+    """Scans the claim table cyclically, one page per call.
 
-    Several processes may do so at once without authority: each deletion depends on
-    the revision that was read, so that a claim made anew meanwhile stays.
+    Several processes may sweep at once without a lease: each deletion is conditional
+    on the revision that was read, so a claim that was renewed meanwhile stays.
     """
 
     def __init__(self, tables: TableService, clock: Clock):
@@ -28,14 +28,14 @@
         self._after = ""
 
     async def sweep(self) -> None:
-        """Delete what has expired on the next page."""
+        """Delete the expired claims of the next page."""
         try:
             rows = await self._tables.scan(CLAIMS, self._after, PAGE)
             transaction = plan_expiry(rows, self._clock.now(), PAGE)
             if transaction.writes:
                 await self._tables.transact(transaction)
         except (StoreUnavailable, StoreResultUnknown) as error:
-            # The page is left for the next round.
+            # The next call reads the same page again.
             logger.info("Expired claims were not deleted: %s", error)
             return
         self._after = rows[-1].key if len(rows) == PAGE else ""
--- a/packages/mustardquay-node/src/mustardquay_node/turns.py
+++ b/packages/mustardquay-node/src/mustardquay_node/turns.py
@@ -1,4 +1,4 @@
-"""Turns: callbacks at the end of a turn of the loop, many under one handle."""
+"""Runs many callbacks in one iteration of the event loop, under a single handle."""
 
 import asyncio
 import logging
@@ -10,16 +10,17 @@
 
 
 class TurnQueue:
-    """Calls back in the next turn of the loop, in order, with one handle for all.
+    """Runs callbacks in the next iteration of the event loop, in order.
 
-    A handle for each callback takes as long as what a token's callback does.
+    All share one handle, since scheduling a handle for each token takes as long as
+    the callback itself.
     """
 
     def __init__(self) -> None:
         self._callbacks: list[Callable[[], None]] = []
 
     def add(self, callback: Callable[[], None]) -> None:
-        """Call back in the next turn."""
+        """Run a callback in the next iteration of the event loop."""
         if not self._callbacks:
             asyncio.get_running_loop().call_soon(self._run)
         self._callbacks.append(callback)
@@ -30,6 +31,6 @@
             try:
                 callback()
             except Exception:
-                # One caller's fault must not hold up the other callers' tokens,
-                # which would show as streams that stop for good.
-                logger.exception("A callback at the end of a turn failed.")
+                # An error in one caller's stream must not drop the callbacks of the
+                # others, whose streams would then stop for good.
+                logger.exception("A batched callback failed")
--- a/packages/mustardquay-node/src/mustardquay_node/views.py
+++ b/packages/mustardquay-node/src/mustardquay_node/views.py
@@ -1,4 +1,4 @@
-"""Views: what an entry makes of the heartbeats of an agent."""
+"""Updates an entry's view of an upstream from the heartbeats of its agent."""
 
 from datetime import timedelta
 
@@ -12,7 +12,7 @@
 def update_view(
     view: UpstreamView, heartbeat: Heartbeat, rates: RateEstimator, now: timedelta
 ) -> None:
-    """Take in a heartbeat; `rates` learns from it and gives what it has learned."""
+    """Apply a heartbeat; its rates are smoothed by `rates`, which learns from them."""
     view.reachable = True
     view.draining = heartbeat.draining
     view.ready = heartbeat.ready
@@ -32,6 +32,6 @@
 
 
 def take_back(view: UpstreamView | None, work: Work) -> None:
-    """Count the prompt of refused work no longer as queued at its upstream."""
+    """Stop counting the prompt of refused work as queued at its upstream."""
     if view is not None:
         view.own_tokens = max(view.own_tokens - work.prompt_tokens, 0)
--- a/packages/mustardquay-node/src/mustardquay_node/wire.capnp
+++ b/packages/mustardquay-node/src/mustardquay_node/wire.capnp
@@ -1,6 +1,6 @@
 @0xd1a3a7c0f2b94e61;
-# Messages between entries and agents; mustardquay.messages says what they mean.
-# A frame on a link is one Batch behind its length as four bytes, big-endian.
+# Messages between entries and agents; mustardquay.messages documents them.
+# A frame on a link is a four-byte big-endian length, followed by one Batch.
 
 struct Header {
   name @0 :Text;
@@ -13,7 +13,7 @@
   availabilityZone @2 :Text;
   nonce @3 :Data;
   proof @4 :Data;
-  # Number of the link among those of the entry process to this agent, from 1.
+  # Number that the entry process gave the link, from 1; higher for each new link.
   link @5 :UInt64;
 }
 
@@ -83,8 +83,8 @@
 }
 
 struct Chunks {
-  # Chunks that follow one another, of any streams: an element of each list for each
-  # chunk, and the data of all in order. Reading a list costs less than reading as
+  # Consecutive chunks of any streams. Each list has one element per chunk, and data
+  # holds the data of all chunks in order. Reading a list costs less than reading as
   # many structures, and streamed tokens are most of the traffic.
   streams @0 :List(UInt64);
   indexes @1 :List(UInt32);
@@ -162,7 +162,7 @@
 }
 
 struct Batch {
-  # Counted from 0 on each link; a jump means that frames were lost or forged.
+  # Counted from 0 on each link; a gap means that frames were lost or forged.
   sequence @0 :UInt64;
   # The sender's hybrid logical clock.
   physical @1 :UInt64;
