--- a/packages/mustardquay-node/src/mustardquay_node/links.py
+++ b/packages/mustardquay-node/src/mustardquay_node/links.py
@@ -217,8 +217,8 @@
         batch = decode_batch(data)
         if batch.sequence != self._expected:
             raise ProtocolError(
-                f"Got frame {batch.sequence} instead of {self._expected}; the link is "
-                "closed and opened again."
+                f"Frame {batch.sequence} arrived instead of {self._expected}; the link "
+                "is closed and opened again."
             )
         self._expected += 1
         for message in batch.messages:
