--- a/packages/mustardquay-node/src/mustardquay_node/answers.py
+++ b/packages/mustardquay-node/src/mustardquay_node/answers.py
@@ -75,7 +75,7 @@
 
     def __init__(self) -> None:
         self._parts: list[bytes] = []
-        self._taken: Callable[[int], None] = lambda size: None
+        self._on_taken: Callable[[int], None] = lambda size: None
         self.status = 0
         self.headers: tuple[Header, ...] = ()
         self.first = asyncio.get_running_loop().create_future()
@@ -89,7 +89,7 @@
 
     def connect(self, taken: Callable[[int], None]) -> None:
         """Set the callback that gets the size of each part the caller has taken."""
-        self._taken = taken
+        self._on_taken = taken
 
     def take_head(self, status: int, headers: tuple[Header, ...]) -> None:
         """Begin an answer, replacing that of an attempt that failed."""
@@ -100,7 +100,7 @@
     def take_data(self, data: bytes) -> None:
         """Buffer a part of the body."""
         self._parts.append(data)
-        self._taken(len(data))
+        self._on_taken(len(data))
 
     def answer_early(self, refusal: Refusal) -> None:
         """Resolve `first` with an unknown outcome; the work goes on."""
@@ -141,7 +141,7 @@
         self._pending: list[bytes] = []
         self._scheduled = False
         self._writing: asyncio.Future[None] | None = None
-        self._taken: Callable[[int], None] = lambda size: None
+        self._on_taken: Callable[[int], None] = lambda size: None
         self.streaming = False
         self.first_data_at: timedelta | None = None
         self.last_data_at: timedelta | None = None
@@ -156,7 +156,7 @@
 
     def connect(self, taken: Callable[[int], None]) -> None:
         """Set the callback that gets the size of each part the caller has taken."""
-        self._taken = taken
+        self._on_taken = taken
         self._buffered.connect(taken)
 
     def take_head(self, status: int, headers: tuple[Header, ...]) -> None:
@@ -197,7 +197,7 @@
         self._pending.clear()
         writing = self._write(data)
         if writing.done():
-            self._taken(len(data))
+            self._on_taken(len(data))
             return
         self._writing = writing
         self.blocked_since = self._now()
@@ -212,5 +212,5 @@
     def _end_write(self, size: int) -> None:
         self._writing = None
         self.blocked_since = None
-        self._taken(size)
+        self._on_taken(size)
         self.flush()
--- a/packages/mustardquay-node/src/mustardquay_node/authorities.py
+++ b/packages/mustardquay-node/src/mustardquay_node/authorities.py
@@ -31,7 +31,7 @@
         keeper: ConfigurationKeeper,
         term: timedelta,
         find_instance: Callable[[str], str],
-        tell_changed: Callable[[str], None],
+        notify_changed: Callable[[str], None],
     ):
         """Take the dependencies.
 
@@ -42,7 +42,7 @@
         self._keeper = keeper
         self._term = term
         self._find_instance = find_instance
-        self._tell_changed = tell_changed
+        self._notify_changed = notify_changed
         self._domains = Domains(self._make_controller)
         self._agents = 1
 
@@ -62,7 +62,7 @@
         lease_changed.connect(self._note_lease)
         rows_written.connect(self._note_rows)
 
-    async def follow(
+    async def set_instances(
         self, entries: Sequence[Instance], agents: Sequence[Instance]
     ) -> None:
         """Compete for the domains that the instance lists assign to this process."""
@@ -94,12 +94,12 @@
             return
         for upstream, row in rows.items():
             self._parts.events.record(
-                "order.written", upstream=upstream, **_describe(row)
+                "order.written", upstream=upstream, **_describe_order(row)
             )
-            self._tell_changed(upstream)
+            self._notify_changed(upstream)
 
 
-def _describe(row: OrderRow) -> dict[str, Any]:
+def _describe_order(row: OrderRow) -> dict[str, Any]:
     return {
         "generation": row.generation,
         "cause": row.cause,
--- a/packages/mustardquay-node/src/mustardquay_node/caller_servers.py
+++ b/packages/mustardquay-node/src/mustardquay_node/caller_servers.py
@@ -20,7 +20,7 @@
 
 SEND_BUFFER = 128 * 1024
 """`SO_SNDBUF` of a caller's connection; the kernel doubles the number."""
-BUFFER_SIZE = 1024 * 1024 * 1024
+MAX_BODY_SIZE = 1024 * 1024 * 1024
 """Body limit for tornado; the handlers apply the lower limit of the settings."""
 
 
@@ -50,7 +50,7 @@
 
     def start(self) -> None:
         """Start to listen; raises `OSError` and `SettingsError`."""
-        tls = self._make_tls()
+        tls = self._make_ssl_context()
         sockets = bind_sockets(self._port, self._address)
         for listener in sockets:
             # Connections inherit the size. The kernel would otherwise buffer some
@@ -61,8 +61,8 @@
         self._server = HTTPServer(
             self._make_application(),
             ssl_options=tls,
-            max_body_size=BUFFER_SIZE,
-            max_buffer_size=BUFFER_SIZE,
+            max_body_size=MAX_BODY_SIZE,
+            max_buffer_size=MAX_BODY_SIZE,
             idle_connection_timeout=self._settings.idle_timeout.total_seconds(),
             body_timeout=self._settings.body_timeout.total_seconds(),
         )
@@ -87,7 +87,7 @@
             if sink.blocked_since is not None and sink.blocked_since < oldest:
                 handler.drop()
 
-    def _make_tls(self) -> ssl.SSLContext | None:
+    def _make_ssl_context(self) -> ssl.SSLContext | None:
         if not self._settings.certificate:
             return None
         context = ssl.SSLContext(ssl.PROTOCOL_TLS_SERVER)
--- a/packages/mustardquay-node/src/mustardquay_node/callers.py
+++ b/packages/mustardquay-node/src/mustardquay_node/callers.py
@@ -39,7 +39,7 @@
 
 OUTCOME_HEADER = "Mustardquay-Outcome"
 REQUEST_HEADER = "Mustardquay-Request"
-SWALLOW_LIMIT = 16 * 1024 * 1024
+DISCARD_LIMIT = 16 * 1024 * 1024
 """Bytes beyond the body limit that are read and discarded, so that the caller gets
 the 413. Closing the connection with unread bytes would lose that response."""
 SKIPPED_HEADERS = frozenset(
@@ -111,7 +111,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class _Fault:
+class _RequestError:
     """The error response for a request that is refused before any attempt."""
 
     status: int
@@ -139,8 +139,8 @@
         self.customer: Contract | None = None
         self._body: list[bytes] = []
         self._body_size = 0
-        self._fault: _Fault | None = None
-        self._left: Callable[[], None] = lambda: None
+        self._request_error: _RequestError | None = None
+        self._on_left: Callable[[], None] = lambda: None
         self.arrived = parts.clock.monotonic()
 
     @property
@@ -162,7 +162,9 @@
 
     def prepare(self) -> None:
         """Check the API key and `Content-Length` before the body is read."""
-        self._fault = self._check_state() or self._check_key() or self._check_length()
+        self._request_error = (
+            self._check_state() or self._check_key() or self._check_length()
+        )
 
     def data_received(self, chunk: bytes) -> None:
         """Store a part of the body, up to the limit."""
@@ -172,9 +174,9 @@
             self._body.append(chunk)
             return
         self._body.clear()
-        if self._fault is None:
-            self._fault = self._make_length_fault()
-        if self._body_size > limit + SWALLOW_LIMIT:
+        if self._request_error is None:
+            self._request_error = self._make_length_error()
+        if self._body_size > limit + DISCARD_LIMIT:
             self.request.connection.close()
 
     def compute_etag(self) -> None:
@@ -184,19 +186,19 @@
     def on_connection_close(self) -> None:
         """Run the callback that was set for a caller that disconnects."""
         super().on_connection_close()
-        self._left()
+        self._on_left()
 
-    def on_caller_left(self, callback: Callable[[], None]) -> None:
+    def set_left_callback(self, callback: Callable[[], None]) -> None:
         """Set the callback for a caller that disconnects before its answer."""
-        self._left = callback
+        self._on_left = callback
 
     async def serve(self, run: Callable[[], Awaitable[None]]) -> None:
         """Refuse an invalid request or run it; a drain waits for its end."""
         # Checked again because the drain may have begun while the body was read. The
         # request would otherwise be run and cut off at the drain timeout.
-        fault = self._fault or self._check_state()
-        if fault is not None:
-            self._refuse_fault(fault)
+        request_error = self._request_error or self._check_state()
+        if request_error is not None:
+            self._send_request_error(request_error)
             return
         with self.parts.in_flight.hold():
             await self._run(run)
@@ -220,7 +222,9 @@
         retry_after: timedelta | None = None,
     ) -> None:
         """Respond that the request was not run, and how to correct it."""
-        self._refuse_fault(_Fault(status, message, code, field, retry_after))
+        self._send_request_error(
+            _RequestError(status, message, code, field, retry_after)
+        )
 
     def send_end(self, end: Finish, sink: BufferedSink) -> None:
         """Respond with the buffered answer, or with the outcome if there is none."""
@@ -261,16 +265,20 @@
             message = f"{self._reason}; see the callers' page."
         self._send_error(status_code, message, "error", None, outcome)
 
-    def _check_state(self) -> _Fault | None:
+    def _check_state(self) -> _RequestError | None:
         if self.parts.draining():
             message = "This entry is stopping; send the request to another."
-            return _Fault(503, message, Reason.DRAINING, None, timedelta(seconds=1))
+            return _RequestError(
+                503, message, Reason.DRAINING, None, timedelta(seconds=1)
+            )
         if not self.parts.configurations.current:
             message = "This entry has no current configuration; ask again."
-            return _Fault(503, message, Reason.NOT_CURRENT, None, timedelta(seconds=1))
+            return _RequestError(
+                503, message, Reason.NOT_CURRENT, None, timedelta(seconds=1)
+            )
         return None
 
-    def _check_key(self) -> _Fault | None:
+    def _check_key(self) -> _RequestError | None:
         scheme, _, key = self.request.headers.get("Authorization", "").partition(" ")
         if scheme.lower() == "bearer" and key:
             digest = sha256(key.strip().encode()).hexdigest()
@@ -280,23 +288,27 @@
             return None
         self.set_header("WWW-Authenticate", "Bearer")
         message = "The key is unknown; send Authorization: Bearer with your own."
-        return _Fault(401, message, "invalid_api_key")
+        return _RequestError(401, message, "invalid_api_key")
 
-    def _check_length(self) -> _Fault | None:
+    def _check_length(self) -> _RequestError | None:
         length = self.request.headers.get("Content-Length", "0")
         if length.isdecimal() and int(length) > self.parts.settings.body_limit:
-            return self._make_length_fault()
+            return self._make_length_error()
         return None
 
-    def _make_length_fault(self) -> _Fault:
+    def _make_length_error(self) -> _RequestError:
         limit = self.parts.settings.body_limit
         message = f"The body is over {limit} bytes; send a shorter one."
-        return _Fault(413, message, "body_too_large")
+        return _RequestError(413, message, "body_too_large")
 
-    def _refuse_fault(self, fault: _Fault) -> None:
-        self._set_retry_after(fault.retry_after)
+    def _send_request_error(self, request_error: _RequestError) -> None:
+        self._set_retry_after(request_error.retry_after)
         self._send_error(
-            fault.status, fault.message, fault.code, fault.field, Outcome.NOT_RUN
+            request_error.status,
+            request_error.message,
+            request_error.code,
+            request_error.field,
+            Outcome.NOT_RUN,
         )
 
     def _set_retry_after(self, wait: timedelta | None) -> None:
--- a/packages/mustardquay-node/src/mustardquay_node/claim_writers.py
+++ b/packages/mustardquay-node/src/mustardquay_node/claim_writers.py
@@ -32,7 +32,7 @@
 from mustardquay.retries import choose_backoff
 from mustardquay.tables import Committed, Conflict, Row, TableService
 
-__all__ = ["ClaimWriter", "WaitingWrite"]
+__all__ = ["ClaimWriter", "QueuedWrite"]
 
 BATCH_LIMIT = 100
 WAITING_LIMIT = 10_000
@@ -44,16 +44,16 @@
 
 
 @dataclass(slots=True, eq=False)
-class WaitingWrite:
+class QueuedWrite:
     """A queued write, until its result is known."""
 
     claim: Claim
     result: "asyncio.Future[Judgement | bool]"
-    begins: bool
+    is_new: bool
     """Whether it creates a claim; otherwise it writes a claim's final state."""
-    unclear: bool = False
+    may_be_applied: bool = False
     """Whether an earlier transaction with this write may have been applied."""
-    alone: bool = False
+    needs_own_transaction: bool = False
     """Whether it needs a transaction of its own, since it was in a conflict that
     doesn't show which of the writes failed."""
     abandoned: bool = False
@@ -80,8 +80,8 @@
         self._random = random
         self._window = window
         self._note_end = note_end
-        self._waiting: deque[WaitingWrite] = deque()
-        self._in_flight: frozenset[WaitingWrite] = frozenset()
+        self._waiting: deque[QueuedWrite] = deque()
+        self._in_flight: frozenset[QueuedWrite] = frozenset()
         self._wake = asyncio.Event()
         self._failures = 0
         self._transactions = 0
@@ -119,15 +119,15 @@
         if self._waiting:
             logger.warning("%d claim writes lost on shutdown", len(self._waiting))
 
-    def begin(self, claim: Claim) -> WaitingWrite:
+    def begin(self, claim: Claim) -> QueuedWrite:
         """Queue a new claim; its result is a `Judgement`, which may be `JOIN`."""
-        return self._queue(claim, begins=True)
+        return self._queue(claim, is_new=True)
 
     def end(self, claim: Claim) -> "asyncio.Future[bool]":
         """Queue a claim's final state; the result is whether the row has it."""
-        return self._queue(claim, begins=False).result
+        return self._queue(claim, is_new=False).result
 
-    def abandon(self, item: WaitingWrite) -> None:
+    def abandon(self, item: QueuedWrite) -> None:
         """Withdraw a claim whose caller got `not-run` or has disconnected.
 
         Guards against a claim that is applied after its caller got `not-run`: a retry
@@ -144,9 +144,9 @@
             self._waiting.remove(item)
             self._withdraw(item)
 
-    def _queue(self, claim: Claim, begins: bool) -> WaitingWrite:
+    def _queue(self, claim: Claim, is_new: bool) -> QueuedWrite:
         result = asyncio.get_running_loop().create_future()
-        item = WaitingWrite(claim, result, begins)
+        item = QueuedWrite(claim, result, is_new)
         self._waiting.append(item)
         self._wake.set()
         return item
@@ -162,14 +162,16 @@
             if batch:
                 await self._write(batch)
 
-    def _take_batch(self) -> list[WaitingWrite]:
+    def _take_batch(self) -> list[QueuedWrite]:
         """Remove queued writes of distinct keys, keeping the order within each key."""
-        batch: list[WaitingWrite] = []
+        batch: list[QueuedWrite] = []
         keys: set[str] = set()
-        left: deque[WaitingWrite] = deque()
+        left: deque[QueuedWrite] = deque()
         for item in self._waiting:
-            fits = len(batch) < BATCH_LIMIT and not (batch and batch[0].alone)
-            fits = fits and not (batch and item.alone)
+            fits = len(batch) < BATCH_LIMIT and not (
+                batch and batch[0].needs_own_transaction
+            )
+            fits = fits and not (batch and item.needs_own_transaction)
             if fits and item.row_key not in keys:
                 batch.append(item)
             else:
@@ -178,7 +180,7 @@
         self._waiting = left
         return batch
 
-    async def _write(self, batch: list[WaitingWrite]) -> None:
+    async def _write(self, batch: list[QueuedWrite]) -> None:
         writes = [ClaimWrite(item.claim) for item in batch]
         self._in_flight = frozenset(batch)
         self._transactions += 1
@@ -186,15 +188,15 @@
             result = await self._tables.transact(group_writes(writes))
         except StoreUnavailable:
             self._in_flight = frozenset()
-            await self._try_again(batch)
+            await self._retry(batch)
             return
         except Exception as error:
             # Not only `StoreResultUnknown`: after any error the write may be applied.
             logger.info("Result of a claim transaction unknown: %s", error)
             self._in_flight = frozenset()
             for item in batch:
-                item.unclear = True
-            await self._try_again(batch)
+                item.may_be_applied = True
+            await self._retry(batch)
             return
         self._in_flight = frozenset()
         self._failures = 0
@@ -203,12 +205,12 @@
         else:
             self._note_conflict(batch, writes, result)
 
-    async def _try_again(self, batch: list[WaitingWrite]) -> None:
+    async def _retry(self, batch: list[QueuedWrite]) -> None:
         self._requeue(batch)
         self._failures += 1
         await self._back_off(self._failures)
 
-    def _requeue(self, batch: Iterable[WaitingWrite]) -> None:
+    def _requeue(self, batch: Iterable[QueuedWrite]) -> None:
         kept = []
         for item in batch:
             if item.abandoned:
@@ -217,8 +219,8 @@
                 kept.append(item)
         self._waiting.extendleft(reversed(kept))
 
-    def _withdraw(self, item: WaitingWrite) -> None:
-        if item.unclear:
+    def _withdraw(self, item: QueuedWrite) -> None:
+        if item.may_be_applied:
             self._release(item.claim)
 
     def _release(self, claim: Claim) -> None:
@@ -228,16 +230,16 @@
         pause = choose_backoff(retry, timedelta.max, self._random, cap=BACKOFF_CAP)
         await asyncio.sleep(pause.total_seconds())
 
-    def _note_committed(self, batch: list[WaitingWrite], result: Committed) -> None:
+    def _note_committed(self, batch: list[QueuedWrite], result: Committed) -> None:
         for item, revision in zip(batch, result.revisions, strict=True):
-            if item.begins:
+            if item.is_new:
                 claim = replace(item.claim, revision=revision)
-                self._settle_claim(item, Judgement(Verdict.RUN, claim))
+                self._set_claim_result(item, Judgement(Verdict.RUN, claim))
             else:
-                self._settle_end(item, True)
+                self._set_end_result(item, True)
 
     def _note_conflict(
-        self, batch: list[WaitingWrite], writes: list[ClaimWrite], result: Conflict
+        self, batch: list[QueuedWrite], writes: list[ClaimWrite], result: Conflict
     ) -> None:
         if len(batch) == 1:
             self._note_row(batch[0], result.rows[0])
@@ -247,40 +249,40 @@
         for write, row in met:
             self._note_row(items[write.claim.key.row_key], row)
         for write in doubtful:
-            items[write.claim.key.row_key].alone = True
+            items[write.claim.key.row_key].needs_own_transaction = True
         again = [items[write.claim.key.row_key] for write in (*doubtful, *others)]
         self._requeue(again)
 
-    def _note_row(self, item: WaitingWrite, row: Row | None) -> None:
-        if item.begins:
+    def _note_row(self, item: QueuedWrite, row: Row | None) -> None:
+        if item.is_new:
             judged = judge_claim(item.claim, row, self._clock.now())
             if isinstance(judged, Judgement):
-                self._settle_claim(item, judged)
+                self._set_claim_result(item, judged)
                 return
             item.claim = judged
         else:
             amended = settle_write(item.claim, row)
             if amended is None:
-                self._settle_end(item, _stands(item.claim, row))
+                self._set_end_result(item, _has_state(item.claim, row))
                 return
             item.claim = amended
-        item.alone = False
+        item.needs_own_transaction = False
         self._requeue([item])
 
-    def _settle_claim(self, item: WaitingWrite, judged: Judgement) -> None:
+    def _set_claim_result(self, item: QueuedWrite, judged: Judgement) -> None:
         if not item.abandoned:
             if not item.result.done():
                 item.result.set_result(judged)
         elif judged.verdict is Verdict.RUN:
             self._release(judged.claim)
 
-    def _settle_end(self, item: WaitingWrite, stands: bool) -> None:
+    def _set_end_result(self, item: QueuedWrite, has_state: bool) -> None:
         if not item.result.done():
-            item.result.set_result(stands)
+            item.result.set_result(has_state)
         self._note_end(item.row_key)
 
 
-def _stands(claim: Claim, row: Row | None) -> bool:
+def _has_state(claim: Claim, row: Row | None) -> bool:
     if row is None:
         return False
     held = decode_claim(claim.key, row)
--- a/packages/mustardquay-node/src/mustardquay_node/columns.py
+++ b/packages/mustardquay-node/src/mustardquay_node/columns.py
@@ -33,10 +33,10 @@
         raise ProtocolError(
             "The lists of chunks differ in length; run the same release on both ends."
         )
-    return _cut_chunks(data, sizes, *columns)
+    return _split_chunks(data, sizes, *columns)
 
 
-def _cut_chunks(
+def _split_chunks(
     data: bytes,
     sizes: list[int],
     streams: list[int],
--- a/packages/mustardquay-node/src/mustardquay_node/dialers.py
+++ b/packages/mustardquay-node/src/mustardquay_node/dialers.py
@@ -9,8 +9,8 @@
 
 __all__ = ["Dialer"]
 
-FIRST_WAIT = timedelta(milliseconds=50)
-LONGEST_WAIT = timedelta(seconds=2)
+INITIAL_DELAY = timedelta(milliseconds=50)
+MAX_DELAY = timedelta(seconds=2)
 CONNECT_TIMEOUT = timedelta(seconds=2)
 
 
@@ -26,7 +26,7 @@
         address: str,
         port: int,
         make_link: Callable[[int], Link],
-        failed: Callable[[bool], None],
+        on_failed: Callable[[bool], None],
         random: Random,
         numbers: Iterator[int],
     ):
@@ -37,18 +37,18 @@
         dialer for an agent that returned to the instance list began at 1 again, its
         links would be refused until it had caught up.
 
-        `failed` is called after each failed attempt with whether the connection was
+        `on_failed` is called after each failed attempt with whether the connection was
         refused, which means that no process listens there.
         """
         self._address = address
         self._port = port
         self._make_link = make_link
-        self._failed = failed
+        self._on_failed = on_failed
         self._random = random
         self._link: Link | None = None
         self._task: asyncio.Task[None] | None = None
         self._closed = False
-        self._wait = timedelta()
+        self._delay = timedelta()
         self._numbers = numbers
 
     @property
@@ -59,13 +59,13 @@
         return None
 
     @property
-    def place(self) -> tuple[str, int]:
+    def endpoint(self) -> tuple[str, int]:
         """Return the agent's address and port."""
         return (self._address, self._port)
 
     def note_open(self) -> None:
         """Reset the delay after a link was opened; the next is dialled at once."""
-        self._wait = timedelta()
+        self._delay = timedelta()
 
     def start(self) -> None:
         """Start to dial; to be called again when the link was lost."""
@@ -83,17 +83,17 @@
 
     async def _dial(self) -> None:
         while not self._closed:
-            await asyncio.sleep(self._random.uniform(0, self._wait.total_seconds()))
+            await asyncio.sleep(self._random.uniform(0, self._delay.total_seconds()))
             # The delay also grows after a connection that succeeds and is then
             # refused in the handshake.
-            self._wait = min(max(self._wait * 2, FIRST_WAIT), LONGEST_WAIT)
+            self._delay = min(max(self._delay * 2, INITIAL_DELAY), MAX_DELAY)
             try:
                 await self._connect()
                 return
             except ConnectionRefusedError:
-                self._failed(True)
+                self._on_failed(True)
             except (OSError, TimeoutError):
-                self._failed(False)
+                self._on_failed(False)
 
     async def _connect(self) -> None:
         number = next(self._numbers)
--- a/packages/mustardquay-node/src/mustardquay_node/dispatchers.py
+++ b/packages/mustardquay-node/src/mustardquay_node/dispatchers.py
@@ -33,7 +33,7 @@
 from .dialers import Dialer
 from .exchanges import Call, Exchange, Sink
 from .links import Identity, Link, LinkOptions
-from .views import take_back, update_view
+from .views import subtract_refused, update_view
 
 __all__ = ["Dispatcher", "DispatcherOptions"]
 
@@ -80,21 +80,21 @@
         events: EventRing,
         quarantine: Quarantine,
         make_heartbeat: Callable[[], Heartbeat],
-        received: Callable[[Link, Message], None],
+        on_received: Callable[[Link, Message], None],
     ):
         """Take the dependencies.
 
-        `received` is called with the messages that don't belong to an attempt.
+        `on_received` is called with the messages that don't belong to an attempt.
         """
         self._identity = identity
-        self._links = links
+        self._link_options = links
         self._options = options
         self._clock = clock
         self._random = random
         self._events = events
         self._quarantine = quarantine
         self._make_heartbeat = make_heartbeat
-        self._received = received
+        self._on_received = on_received
         self._index = PrefixIndex()
         self._rates = RateEstimator()
         self._budget = RetryBudget(options.retry_ratio, now=clock.monotonic())
@@ -136,8 +136,8 @@
         wanted = {agent.name: agent for agent in agents}
         for name, agent in wanted.items():
             peer = self._peers.get(name)
-            place = (agent.address, agent.port)
-            if peer is not None and peer.dialer and peer.dialer.place != place:
+            endpoint = (agent.address, agent.port)
+            if peer is not None and peer.dialer and peer.dialer.endpoint != endpoint:
                 self._drop(peer)
                 peer = None
             if peer is None:
@@ -163,7 +163,7 @@
             lambda: self._budget.spend(work.customer, self.now()),
             lambda retry: self._back_off(work, retry),
         )
-        window = self._links.silence + REATTACH_MARGIN
+        window = self._link_options.silence + REATTACH_MARGIN
         exchange = Exchange(call, sink, state, self, window, self._end)
         self._exchanges.add(exchange)
         self._empty.clear()
@@ -294,7 +294,7 @@
         return Link(
             "entry",
             replace(self._identity, link=number),
-            self._links,
+            self._link_options,
             self._events.clock,
             lambda link: self._make_peer_heartbeat(peer),
             lambda link: self._note_open(peer, link),
@@ -347,17 +347,17 @@
             found = self._streams.get(message.stream)
             if found is not None and found[1] is peer:
                 if isinstance(message, Refused):
-                    take_back(peer.view, found[0].call.work)
+                    subtract_refused(peer.view, found[0].call.work)
                 found[0].receive(message)
             return
         if isinstance(message, CacheEvents):
-            self._take_cache_events(peer, message)
+            self._apply_cache_events(peer, message)
             return
         if isinstance(message, Heartbeat):
-            self._take_heartbeat(peer, message)
-        self._received(link, message)
+            self._apply_heartbeat(peer, message)
+        self._on_received(link, message)
 
-    def _take_heartbeat(self, peer: _Peer, heartbeat: Heartbeat) -> None:
+    def _apply_heartbeat(self, peer: _Peer, heartbeat: Heartbeat) -> None:
         view = peer.view
         if view is None or view.name != heartbeat.upstream:
             view = UpstreamView(heartbeat.upstream, peer.availability_zone)
@@ -369,7 +369,7 @@
         if self._quarantine.merge(heartbeat.crashes, self.now()):
             self.beat()
 
-    def _take_cache_events(self, peer: _Peer, message: CacheEvents) -> None:
+    def _apply_cache_events(self, peer: _Peer, message: CacheEvents) -> None:
         if peer.view is None:
             return
         name = peer.view.name
--- a/packages/mustardquay-node/src/mustardquay_node/entries.py
+++ b/packages/mustardquay-node/src/mustardquay_node/entries.py
@@ -37,9 +37,9 @@
 
 __all__ = ["Entry"]
 
-LIST_INTERVAL = timedelta(seconds=1)
-SWEEP_INTERVAL = timedelta(seconds=1)
-CLAIMS_INTERVAL = timedelta(seconds=1)
+INSTANCE_LIST_INTERVAL = timedelta(seconds=1)
+SLOW_CALLER_INTERVAL = timedelta(seconds=1)
+CLAIM_SWEEP_INTERVAL = timedelta(seconds=1)
 """Interval at which one page of the claim table is checked for expired claims."""
 
 
@@ -59,7 +59,7 @@
         parts = self._parts
         self._draining = False
         self._membership = Membership(settings.link.silence)
-        self._known: set[str] = set()
+        self._known_models: set[str] = set()
         self._known_adapters: set[str] = set()
         self._editor = ConfigurationEditor(
             self._keeper,
@@ -96,7 +96,7 @@
             self._keeper,
             self._settings.lease_term,
             self._find_instance,
-            self._tell_order_changed,
+            self._notify_order_changed,
         )
         self._agents = 0
         self._in_flight = InFlight()
@@ -153,9 +153,9 @@
         self._server.start()
         self._admin.start()
         self._tasks = [
-            start_loop(self._follow_list, LIST_INTERVAL, parts.random),
-            start_loop(self._server.drop_slow_callers, SWEEP_INTERVAL),
-            start_loop(self._sweep_claims, CLAIMS_INTERVAL, parts.random),
+            start_loop(self._refresh_instances, INSTANCE_LIST_INTERVAL, parts.random),
+            start_loop(self._server.drop_slow_callers, SLOW_CALLER_INTERVAL),
+            start_loop(self._sweep_claims, CLAIM_SWEEP_INTERVAL, parts.random),
         ]
         parts.events.record("process.started")
 
@@ -248,7 +248,7 @@
     def _find_instance(self, upstream: str) -> str:
         return self._dispatcher.find_instance(upstream)
 
-    def _tell_order_changed(self, upstream: str) -> None:
+    def _notify_order_changed(self, upstream: str) -> None:
         self._dispatcher.send(upstream, OrderChanged())
 
     def _receive(self, link: Link, message: Message) -> None:
@@ -258,7 +258,7 @@
             self._membership.note_heartbeat(
                 peer.process, peer.incarnation, message.draining, now
             )
-            self._known.update(message.models)
+            self._known_models.update(message.models)
             self._known_adapters.update(message.adapters)
         spread_configuration(self._keeper, link, message)
 
@@ -275,25 +275,27 @@
         return self.name in choose_readers(entries, zone)
 
     def _make_catalogue(self) -> Catalogue | None:
-        if not self._known:
+        if not self._known_models:
             return None
-        services = {name for name in self._known if name.startswith(SERVICE_PREFIX)}
+        services = {
+            name for name in self._known_models if name.startswith(SERVICE_PREFIX)
+        }
         return Catalogue(
-            models=frozenset(self._known - services),
+            models=frozenset(self._known_models - services),
             adapters=frozenset(self._known_adapters),
             services=frozenset(name.removeprefix(SERVICE_PREFIX) for name in services),
         )
 
-    async def _follow_list(self) -> None:
+    async def _refresh_instances(self) -> None:
         try:
             instances = await self._parts.platform.instances.list_instances()
         except MustardquayError:
             # Without a new list the links stay as they are; heartbeats still show
             # which processes are alive and which are draining.
             return
-        await self._take_list(instances)
+        await self._apply_instances(instances)
 
-    async def _take_list(self, instances: tuple[Instance, ...]) -> None:
+    async def _apply_instances(self, instances: tuple[Instance, ...]) -> None:
         now = self._parts.clock.monotonic()
         self._membership.update(instances, now)
         agents = self._membership.list_instances("agent", now)
@@ -306,7 +308,7 @@
         chosen = choose_agents(self.name, entries, agents, self._settings.agents)
         self._agents = len(agents)
         self._dispatcher.set_agents(chosen, leaving)
-        await self._authorities.follow(entries, agents)
+        await self._authorities.set_instances(entries, agents)
 
     def list_faults(self) -> tuple[str, ...]:
         """Return the reasons why this process takes no new work, a sentence each."""
--- a/packages/mustardquay-node/src/mustardquay_node/exchanges.py
+++ b/packages/mustardquay-node/src/mustardquay_node/exchanges.py
@@ -111,23 +111,23 @@
         state: RequestState,
         dispatch: Dispatch,
         reattach_window: timedelta,
-        ended: "Callable[[Exchange], None]",
+        on_ended: "Callable[[Exchange], None]",
     ):
         self._call = call
         self._sink = sink
         self._state = state
         self._dispatch = dispatch
         self._reattach_window = reattach_window
-        self._ended = ended
+        self._on_ended = on_ended
         self._loop = asyncio.get_running_loop()
         self._stream = 0
-        self._stream_number = 0
+        self._attempt_number = 0
         self._reattach: ReattachAttempt | None = None
         self._deadline: asyncio.TimerHandle | None = None
         self._timer: asyncio.TimerHandle | None = None
         self._delivered: list[bytes] = []
         self._delivered_size = 0
-        self._taken = 0
+        self._uncredited = 0
 
     @property
     def call(self) -> Call:
@@ -148,8 +148,8 @@
         """Start the request and its deadline timer."""
         remaining = self._call.work.finish_by - self._dispatch.now()
         seconds = max(remaining.total_seconds(), 0)
-        self._deadline = self._loop.call_later(seconds, self._pass_deadline)
-        self._act(self._state.start())
+        self._deadline = self._loop.call_later(seconds, self._on_deadline)
+        self._run_actions(self._state.start())
 
     def receive(self, frame: AttemptFrame) -> None:
         """Process a frame; those of earlier streams are dropped."""
@@ -158,11 +158,11 @@
         if self._reattach is not None:
             self._reattach = None
             self._stop_timer()
-        self._act(self._state.frame_received(self._stream_number, frame))
+        self._run_actions(self._state.frame_received(self._attempt_number, frame))
 
     def lose_link(self) -> None:
         """Handle the loss of the current attempt's link."""
-        self._act(self._state.link_lost())
+        self._run_actions(self._state.link_lost())
 
     def find_link(self) -> None:
         """Request the rest of the answer when a link is open again."""
@@ -176,20 +176,22 @@
 
     def leave(self) -> None:
         """Handle the disconnection of the caller."""
-        self._act(self._state.caller_left())
+        self._run_actions(self._state.caller_left())
 
     def note_taken(self, size: int) -> None:
         """Count `size` bytes the caller has taken, and grant the agent credit."""
-        self._taken += size
-        if self._taken >= CREDIT_STEP and self._state.phase is not Phase.ENDED:
-            self._dispatch.send(self._state.upstream, Credit(self._stream, self._taken))
-            self._taken = 0
-
-    def _act(self, actions: list[Action]) -> None:
+        self._uncredited += size
+        if self._uncredited >= CREDIT_STEP and self._state.phase is not Phase.ENDED:
+            self._dispatch.send(
+                self._state.upstream, Credit(self._stream, self._uncredited)
+            )
+            self._uncredited = 0
+
+    def _run_actions(self, actions: list[Action]) -> None:
         for action in actions:
-            self._take_action(action)
+            self._run_action(action)
 
-    def _take_action(self, action: Action) -> None:
+    def _run_action(self, action: Action) -> None:
         match action:
             case DeliverData():
                 self._deliver(action.data)
@@ -227,22 +229,24 @@
     def _choose(self, avoid: frozenset[str]) -> None:
         chosen = self._dispatch.choose(self._call, avoid)
         if isinstance(chosen, Refusal):
-            self._act(self._state.upstream_missing(chosen))
+            self._run_actions(self._state.upstream_missing(chosen))
         else:
-            self._act(self._state.upstream_chosen(chosen.name, chosen.incarnation))
+            self._run_actions(
+                self._state.upstream_chosen(chosen.name, chosen.incarnation)
+            )
 
     def _send(self, action: SendAttempt) -> None:
         self._end_stream()
         self._stream = self._dispatch.reserve(self)
-        self._stream_number = action.number
+        self._attempt_number = action.number
         body = self._make_body(action)
         if body is None:
             self._state.resume_impossible()
-            self._act(self._state.resume_refused())
+            self._run_actions(self._state.resume_refused())
             return
         attempt = self._make_attempt(action, body)
         if not self._dispatch.send(action.upstream, attempt):
-            self._act(self._state.send_failed())
+            self._run_actions(self._state.send_failed())
             return
         self._dispatch.record("attempt.sent", self, upstream=action.upstream)
 
@@ -256,7 +260,7 @@
         work = call.work
         now = self._dispatch.now()
         # A stream that has begun is worth resuming also after the first-token deadline.
-        late = work.finish_by if action.resume else work.start_by
+        start_by = work.finish_by if action.resume else work.start_by
         return Attempt(
             stream=self._stream,
             request=work.request,
@@ -273,7 +277,7 @@
             output_tokens=work.output_tokens,
             share=work.share,
             priority=work.priority,
-            start_within=late - now,
+            start_within=start_by - now,
             finish_within=work.finish_by - now,
             prefix=work.prefix,
             fingerprint=work.fingerprint,
@@ -314,7 +318,7 @@
     def _fail_reattach(self) -> None:
         self._reattach = None
         self._stop_timer()
-        self._act(self._state.reattach_failed())
+        self._run_actions(self._state.reattach_failed())
 
     def _wait(self, delay: timedelta) -> None:
         self._stop_timer()
@@ -323,11 +327,11 @@
 
     def _end_wait(self) -> None:
         self._timer = None
-        self._act(self._state.back_off_ended())
+        self._run_actions(self._state.back_off_ended())
 
-    def _pass_deadline(self) -> None:
+    def _on_deadline(self) -> None:
         self._deadline = None
-        self._act(self._state.deadline_passed())
+        self._run_actions(self._state.deadline_passed())
 
     def _finish(self, end: Finish) -> None:
         self._stop_timer()
@@ -336,7 +340,7 @@
         self._end_stream()
         self._dispatch.record("request.ended", self, outcome=end.outcome.value)
         self._sink.finish(end)
-        self._ended(self)
+        self._on_ended(self)
 
     def _end_stream(self) -> None:
         if self._stream:
--- a/packages/mustardquay-node/src/mustardquay_node/frames.py
+++ b/packages/mustardquay-node/src/mustardquay_node/frames.py
@@ -245,7 +245,7 @@
     return Credit(read.stream, read.size)
 
 
-def _write_mark(name: str) -> Callable[[Any, Started | Done], None]:
+def _make_index_writer(name: str) -> Callable[[Any, Started | Done], None]:
     def write(frame: Any, message: Started | Done) -> None:
         built = frame.init(name)
         built.stream = message.stream
@@ -329,9 +329,9 @@
     Reattach: _write_reattach,
     Cancel: _write_cancel,
     Credit: _write_credit,
-    Started: _write_mark("started"),
+    Started: _make_index_writer("started"),
     Head: _write_head,
-    Done: _write_mark("done"),
+    Done: _make_index_writer("done"),
     Refused: _write_refused,
     Failed: _write_failed,
     Heartbeat: write_heartbeat,
--- a/packages/mustardquay-node/src/mustardquay_node/generations.py
+++ b/packages/mustardquay-node/src/mustardquay_node/generations.py
@@ -47,7 +47,7 @@
             self.refuse(400, str(error), "invalid_body", error.field or None)
             return
         model, _, adapter = body.model.partition(":")
-        if not self._may_use(model, adapter) or not self._can_hold(body):
+        if not self._check_model(model, adapter) or not self._check_output_limit(body):
             return
         self.model = model
         call = self._make_call(body, model, adapter)
@@ -56,7 +56,7 @@
         else:
             await self._answer_whole(call)
 
-    def _may_use(self, model: str, adapter: str) -> bool:
+    def _check_model(self, model: str, adapter: str) -> bool:
         contract = self.customer
         assert contract is not None
         if model not in contract.models:
@@ -69,7 +69,7 @@
             return False
         return True
 
-    def _can_hold(self, body: GenerationBody) -> bool:
+    def _check_output_limit(self, body: GenerationBody) -> bool:
         """Check that the requested number of output tokens fits the models.
 
         Guards against a limit that exceeds any engine's memory: the engine would plan
@@ -115,7 +115,7 @@
         sink = BufferedSink()
         exchange = self.parts.dispatcher.run(call, sink)
         sink.connect(exchange.note_taken)
-        self.on_caller_left(exchange.leave)
+        self.set_left_callback(exchange.leave)
         end = await sink.ended
         self.send_end(end, sink)
         if end.outcome is Outcome.ANSWERED:
@@ -130,7 +130,7 @@
         )
         exchange = self.parts.dispatcher.run(call, sink)
         sink.connect(exchange.note_taken)
-        self.on_caller_left(exchange.leave)
+        self.set_left_callback(exchange.leave)
         watched = (self, sink)
         self.parts.streams.add(watched)
         try:
--- a/packages/mustardquay-node/src/mustardquay_node/heartbeats.py
+++ b/packages/mustardquay-node/src/mustardquay_node/heartbeats.py
@@ -18,12 +18,12 @@
 ]
 
 MICROSECOND = timedelta(microseconds=1)
-LONGEST = timedelta(days=1)
+MAX_DURATION = timedelta(days=1)
 
 
 def to_microseconds(duration: timedelta) -> int:
     """Return a duration as encoded in frames: 0 if negative, at most a day."""
-    return max(min(duration, LONGEST) // MICROSECOND, 0)
+    return max(min(duration, MAX_DURATION) // MICROSECOND, 0)
 
 
 def write_heartbeat(frame: Any, heartbeat: Heartbeat) -> None:
--- a/packages/mustardquay-node/src/mustardquay_node/links.py
+++ b/packages/mustardquay-node/src/mustardquay_node/links.py
@@ -64,18 +64,18 @@
         options: LinkOptions,
         clock: HybridClock,
         make_heartbeat: "Callable[[Link], Heartbeat]",
-        opened: "Callable[[Link], None]",
-        received: "Callable[[Link, Message], None]",
-        lost: "Callable[[Link, str], None]",
+        on_opened: "Callable[[Link], None]",
+        on_received: "Callable[[Link, Message], None]",
+        on_lost: "Callable[[Link, str], None]",
     ):
         self._side = side
         self._identity = identity
         self._options = options
         self._clock = clock
         self._make_heartbeat = make_heartbeat
-        self._opened = opened
-        self._received = received
-        self._lost = lost
+        self._on_opened = on_opened
+        self._on_received = on_received
+        self._on_lost = on_lost
         self._loop = asyncio.get_running_loop()
         self._transport: asyncio.Transport | None = None
         self._buffer = bytearray()
@@ -90,8 +90,8 @@
         self._open = False
         self._closed = False
         self._ended = asyncio.Event()
-        self._silent = 0.0
-        self._beaten = self._loop.time()
+        self._idle_seconds = 0.0
+        self._last_heartbeat = self._loop.time()
         self._timer: asyncio.TimerHandle | None = None
 
     @property
@@ -128,7 +128,7 @@
         self._ended.set()
         if self._transport is not None:
             self._transport.abort()
-        self._lost(self, reason)
+        self._on_lost(self, reason)
 
     async def finish(self) -> None:
         """Send everything queued and wait until the peer has closed the link.
@@ -175,17 +175,17 @@
         connection = transport.get_extra_info("socket")
         if connection is not None:
             connection.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-        self._beaten = self._loop.time()
-        self._schedule_beat()
+        self._last_heartbeat = self._loop.time()
+        self._schedule_heartbeat()
         if self._side == "entry":
-            self._say_hello(b"")
+            self._send_hello(b"")
 
     def data_received(self, data: bytes) -> None:
         """Split the bytes into batches and deliver their messages."""
-        self._silent = 0.0
+        self._idle_seconds = 0.0
         self._buffer += data
         try:
-            self._take_batches()
+            self._read_batches()
         except ProtocolError as error:
             self.close(str(error))
 
@@ -193,7 +193,7 @@
         """Notify the owner, unless this end closed the link."""
         self.close(f"connection lost: {exc or 'closed by the peer'}")
 
-    def _take_batches(self) -> None:
+    def _read_batches(self) -> None:
         start = 0
         while len(self._buffer) - start >= LENGTH_SIZE and not self._closed:
             size = int.from_bytes(self._buffer[start : start + LENGTH_SIZE], "big")
@@ -201,7 +201,7 @@
             end = start + LENGTH_SIZE + size
             if len(self._buffer) < end:
                 break
-            self._take_batch(bytes(self._buffer[start + LENGTH_SIZE : end]))
+            self._process_batch(bytes(self._buffer[start + LENGTH_SIZE : end]))
             start = end
         del self._buffer[:start]
 
@@ -213,7 +213,7 @@
                 "frame_limit on both ends."
             )
 
-    def _take_batch(self, data: bytes) -> None:
+    def _process_batch(self, data: bytes) -> None:
         batch = decode_batch(data)
         if batch.sequence != self._expected:
             raise ProtocolError(
@@ -225,40 +225,40 @@
             if self._closed:
                 return
             if isinstance(message, Hello):
-                self._take_hello(message)
+                self._handle_hello(message)
             elif not self._open:
                 raise ProtocolError("A message arrived before the handshake.")
             else:
-                self._received(self, message)
+                self._on_received(self, message)
         # Only an authenticated peer may advance this process's clock.
         if self._open:
             self._clock.merge(batch.stamp)
 
-    def _take_hello(self, hello: Hello) -> None:
+    def _handle_hello(self, hello: Hello) -> None:
         if self._open:
             raise ProtocolError("A second handshake arrived on an open link.")
         if self._side == "entry":
-            self._take_answer(hello)
+            self._handle_agent_hello(hello)
         elif self._peer is None:
-            self._answer_hello(hello)
+            self._handle_entry_hello(hello)
         else:
-            self._take_proof(hello)
+            self._handle_entry_proof(hello)
 
-    def _answer_hello(self, hello: Hello) -> None:
+    def _handle_entry_hello(self, hello: Hello) -> None:
         self._peer = hello
         self._peer_nonce = hello.nonce
-        self._say_hello(self._prove(self._options.keys[0]))
+        self._send_hello(self._prove(self._options.keys[0]))
 
-    def _take_answer(self, hello: Hello) -> None:
+    def _handle_agent_hello(self, hello: Hello) -> None:
         self._peer = hello
         self._peer_nonce = hello.nonce
         key = self._find_key(hello)
-        self._say_hello(self._prove(key))
-        self._become_open()
+        self._send_hello(self._prove(key))
+        self._set_open()
 
-    def _take_proof(self, hello: Hello) -> None:
+    def _handle_entry_proof(self, hello: Hello) -> None:
         self._find_key(hello)
-        self._become_open()
+        self._set_open()
 
     def _prove(self, key: str) -> bytes:
         return make_proof(
@@ -285,23 +285,23 @@
             return (self._nonce, self._peer_nonce)
         return (self._peer_nonce, self._nonce)
 
-    def _say_hello(self, proof: bytes) -> None:
-        me = self._identity
+    def _send_hello(self, proof: bytes) -> None:
+        identity = self._identity
         self._queue(
             Hello(
-                me.process,
-                me.incarnation,
-                me.availability_zone,
+                identity.process,
+                identity.incarnation,
+                identity.availability_zone,
                 self._nonce,
                 proof,
-                me.link,
+                identity.link,
             )
         )
 
-    def _become_open(self) -> None:
+    def _set_open(self) -> None:
         self._open = True
         self._queue(self._make_heartbeat(self))
-        self._opened(self)
+        self._on_opened(self)
 
     def _queue(self, message: Message | Hello) -> None:
         self._outgoing.append(message)
@@ -319,23 +319,23 @@
         else:
             self._loop.call_soon(self.flush)
 
-    def _schedule_beat(self) -> None:
+    def _schedule_heartbeat(self) -> None:
         interval = self._options.heartbeat.total_seconds()
-        self._timer = self._loop.call_later(interval, self._beat)
+        self._timer = self._loop.call_later(interval, self._run_heartbeat)
 
-    def _beat(self) -> None:
+    def _run_heartbeat(self) -> None:
         # After a device on the path has dropped the connection's state, TCP reports
         # no error for many minutes. The peer always sends heartbeats, so without any
         # data the connection is unusable and a new one is worth a try.
-        self._silent += self._measure_beat()
-        if self._silent > self._options.silence.total_seconds():
+        self._idle_seconds += self._measure_interval()
+        if self._idle_seconds > self._options.silence.total_seconds():
             self.close("no heartbeat within the heartbeat timeout")
             return
         if self._open:
             self._queue(self._make_heartbeat(self))
-        self._schedule_beat()
+        self._schedule_heartbeat()
 
-    def _measure_beat(self) -> float:
+    def _measure_interval(self) -> float:
         """Return the seconds since the last call, with long pauses capped.
 
         A process that was suspended, or had no processor time, has received nothing for
@@ -343,6 +343,6 @@
         pause counted in full, the process would close all its links on resuming.
         """
         now = self._loop.time()
-        elapsed = now - self._beaten
-        self._beaten = now
+        elapsed = now - self._last_heartbeat
+        self._last_heartbeat = now
         return min(elapsed, 2 * self._options.heartbeat.total_seconds())
--- a/packages/mustardquay-node/src/mustardquay_node/recorders.py
+++ b/packages/mustardquay-node/src/mustardquay_node/recorders.py
@@ -109,7 +109,7 @@
         while True:
             judged = await self._write_claim(key, digest, attempt, give_up, finish_by)
             if judged.verdict is Verdict.JOIN:
-                judged = await self._follow(judged.claim, finish_by)
+                judged = await self._await_claim(judged.claim, finish_by)
             if judged.verdict is not Verdict.JOIN:
                 return await self._load_body(judged, finish_by)
 
@@ -181,7 +181,7 @@
             expires=now + self._lifetime,
         )
 
-    async def _follow(self, held: Claim, finish_by: timedelta) -> Judgement:
+    async def _await_claim(self, held: Claim, finish_by: timedelta) -> Judgement:
         """Poll the claim of a running attempt until it is final or out of time."""
         changed = asyncio.Event()
         watchers = self._changed.setdefault(held.key.row_key, set())
@@ -194,7 +194,7 @@
                     return Judgement(Verdict.UNKNOWN, held)
                 await self._pause(changed, min(pause, remaining))
                 pause = min(2 * pause, POLL_CAP)
-                judged = await self._judge_again(held)
+                judged = await self._poll_claim(held)
                 if judged is not None:
                     return judged
         finally:
@@ -210,7 +210,7 @@
             return
         changed.clear()
 
-    async def _judge_again(self, held: Claim) -> Judgement | None:
+    async def _poll_claim(self, held: Claim) -> Judgement | None:
         """Return the result for a claim that is polled, or None to go on polling.
 
         `JOIN` means that the claim was released, so that the key is free again.
--- a/packages/mustardquay-node/src/mustardquay_node/services.py
+++ b/packages/mustardquay-node/src/mustardquay_node/services.py
@@ -85,7 +85,7 @@
         sink = BufferedSink()
         exchange = self.parts.dispatcher.run(call, sink)
         sink.connect(exchange.note_taken)
-        self.on_caller_left(exchange.leave)
+        self.set_left_callback(exchange.leave)
         self.send_end(await sink.ended, sink)
 
     async def _run_once(self, service: str, path: str) -> None:
--- a/packages/mustardquay-node/src/mustardquay_node/sweepers.py
+++ b/packages/mustardquay-node/src/mustardquay_node/sweepers.py
@@ -9,7 +9,7 @@
 
 __all__ = ["ClaimSweeper"]
 
-PAGE = 500
+PAGE_SIZE = 500
 """Rows read at a time."""
 
 logger = logging.getLogger(__name__)
@@ -30,12 +30,12 @@
     async def sweep(self) -> None:
         """Delete the expired claims of the next page."""
         try:
-            rows = await self._tables.scan(CLAIMS, self._after, PAGE)
-            transaction = plan_expiry(rows, self._clock.now(), PAGE)
+            rows = await self._tables.scan(CLAIMS, self._after, PAGE_SIZE)
+            transaction = plan_expiry(rows, self._clock.now(), PAGE_SIZE)
             if transaction.writes:
                 await self._tables.transact(transaction)
         except (StoreUnavailable, StoreResultUnknown) as error:
             # The next call reads the same page again.
             logger.info("Expired claims were not deleted: %s", error)
             return
-        self._after = rows[-1].key if len(rows) == PAGE else ""
+        self._after = rows[-1].key if len(rows) == PAGE_SIZE else ""
--- a/packages/mustardquay-node/src/mustardquay_node/views.py
+++ b/packages/mustardquay-node/src/mustardquay_node/views.py
@@ -6,7 +6,7 @@
 from mustardquay.predictions import RateEstimator
 from mustardquay.works import UpstreamView, Work
 
-__all__ = ["take_back", "update_view"]
+__all__ = ["subtract_refused", "update_view"]
 
 
 def update_view(
@@ -31,7 +31,7 @@
     view.slowness = rates.slowness(view.name)
 
 
-def take_back(view: UpstreamView | None, work: Work) -> None:
+def subtract_refused(view: UpstreamView | None, work: Work) -> None:
     """Stop counting the prompt of refused work as queued at its upstream."""
     if view is not None:
         view.own_tokens = max(view.own_tokens - work.prompt_tokens, 0)
--- a/packages/mustardquay-node/tests/test_links.py
+++ b/packages/mustardquay-node/tests/test_links.py
@@ -44,14 +44,14 @@
     )
     link.lost = lost
     link._loop = StoppedLoop()
-    link._beaten = 0.0
+    link._last_heartbeat = 0.0
     return link
 
 
 def beat_at(link, *instants):
     for instant in instants:
         link._loop.now = instant
-        link._beat()
+        link._run_heartbeat()
 
 
 async def test_link_is_closed_after_the_time_of_silence(link):
