--- a/benchmarks/counts.py
+++ b/benchmarks/counts.py
@@ -23,10 +23,10 @@
 from mustardquay.attempts import RequestState
 from mustardquay.messages import Attempt, AttemptFrame, Heartbeat, Message
 from mustardquay_node.answers import StreamSink
+from mustardquay_node.callback_batches import CallbackBatcher
 from mustardquay_node.exchanges import Call, Exchange
 from mustardquay_node.links import Identity, Link, LinkOptions
 from mustardquay_node.runs import Run
-from mustardquay_node.turns import TurnQueue
 from mustardquay_standins.engine_calls import EVENT_PREFIX
 
 __all__ = ["Bounds", "Figures", "measure", "run"]
@@ -126,7 +126,7 @@
 
     def __init__(self) -> None:
         self._clock = VirtualClock()
-        self._turns = TurnQueue()
+        self._callbacks = CallbackBatcher()
         self.dispatch = _Dispatch(self._clock)
         self.entry = self._make_link("entry", self.dispatch.receive)
         self.agent = self._make_link("agent", lambda link, message: None)
@@ -160,7 +160,10 @@
         body = b'{"model":"model","messages":[],"stream":true}'
         call = Call(work, "POST", "/v1/chat/completions", (), body, True, 1)
         sink = StreamSink(
-            lambda headers: None, self._write, self._clock.monotonic, self._turns.add
+            lambda headers: None,
+            self._write,
+            self._clock.monotonic,
+            self._callbacks.add,
         )
         state = RequestState(True, True, 1, lambda: False, lambda retry: HOUR)
         exchange = Exchange(call, sink, state, self.dispatch, HOUR, lambda end: None)
--- a/packages/mustardquay-node/src/mustardquay_node/turns.py
+++ b/packages/mustardquay-node/src/mustardquay_node/callback_batches.py
@@ -4,12 +4,12 @@
 import logging
 from collections.abc import Callable
 
-__all__ = ["TurnQueue"]
+__all__ = ["CallbackBatcher"]
 
 logger = logging.getLogger(__name__)
 
 
-class TurnQueue:
+class CallbackBatcher:
     """Runs callbacks in the next iteration of the event loop, in order.
 
     All share one handle, since scheduling a handle for each token takes as long as
--- a/packages/mustardquay-node/src/mustardquay_node/callers.py
+++ b/packages/mustardquay-node/src/mustardquay_node/caller_handlers.py
@@ -29,13 +29,18 @@
     count_retry_seconds,
     encode_error,
 )
+from .callback_batches import CallbackBatcher
 from .dispatchers import Dispatcher
 from .metrics import NodeMetrics
 from .node_settings import EntrySettings, ServiceSettings
 from .recorders import Recorder
-from .turns import TurnQueue
 
-__all__ = ["CallerHandler", "CallerParts", "ConfigurationSource", "NotFoundHandler"]
+__all__ = [
+    "CallerHandler",
+    "CallerDependencies",
+    "ConfigurationSource",
+    "NotFoundHandler",
+]
 
 OUTCOME_HEADER = "Mustardquay-Outcome"
 REQUEST_HEADER = "Mustardquay-Request"
@@ -90,7 +95,7 @@
 
 
 @dataclass(slots=True)
-class CallerParts:
+class CallerDependencies:
     """The objects that all handlers of an entry share."""
 
     settings: EntrySettings
@@ -106,7 +111,7 @@
     draining: Callable[[], bool]
     streams: set[Any]
     """Handler and sink of each open stream, checked for callers that don't read."""
-    turns: TurnQueue = field(default_factory=TurnQueue)
+    callbacks: CallbackBatcher = field(default_factory=CallbackBatcher)
     """Batches the writes of all streams in one iteration of the event loop."""
 
 
@@ -132,16 +137,16 @@
     operation = ""
     """Name of the operation in metrics."""
 
-    def initialize(self, parts: CallerParts) -> None:
+    def initialize(self, deps: CallerDependencies) -> None:
         """Set up the handler of one request."""
-        self.parts = parts
+        self.deps = deps
         self.model = ""
         self.customer: Contract | None = None
         self._body: list[bytes] = []
         self._body_size = 0
         self._request_error: _RequestError | None = None
         self._on_left: Callable[[], None] = lambda: None
-        self.arrived = parts.clock.monotonic()
+        self.arrived = deps.clock.monotonic()
 
     @property
     def request_id(self) -> str:
@@ -169,7 +174,7 @@
     def data_received(self, chunk: bytes) -> None:
         """Store a part of the body, up to the limit."""
         self._body_size += len(chunk)
-        limit = self.parts.settings.body_limit
+        limit = self.deps.settings.body_limit
         if self._body_size <= limit:
             self._body.append(chunk)
             return
@@ -200,12 +205,12 @@
         if request_error is not None:
             self._send_request_error(request_error)
             return
-        with self.parts.in_flight.hold():
+        with self.deps.in_flight.hold():
             await self._run(run)
 
     async def _run(self, run: Callable[[], Awaitable[None]]) -> None:
         assert self.customer is not None
-        self.parts.events.record(
+        self.deps.events.record(
             "request.arrived",
             request=self.request_id,
             customer=self.customer.customer,
@@ -249,7 +254,7 @@
         """Respond with the outcome of a request that has no answer."""
         assert end.refusal is not None
         status = choose_status(end)
-        self.parts.metrics.count_refusal(end.refusal.reason)
+        self.deps.metrics.count_refusal(end.refusal.reason)
         self._set_retry_after(end.refusal.retry_after)
         self._send_error(
             status, end.refusal.message, end.refusal.reason.value, None, end.outcome
@@ -266,12 +271,12 @@
         self._send_error(status_code, message, "error", None, outcome)
 
     def _check_state(self) -> _RequestError | None:
-        if self.parts.draining():
+        if self.deps.draining():
             message = "This entry is stopping; send the request to another."
             return _RequestError(
                 503, message, Reason.DRAINING, None, timedelta(seconds=1)
             )
-        if not self.parts.configurations.current:
+        if not self.deps.configurations.current:
             message = "This entry has no current configuration; ask again."
             return _RequestError(
                 503, message, Reason.NOT_CURRENT, None, timedelta(seconds=1)
@@ -282,7 +287,7 @@
         scheme, _, key = self.request.headers.get("Authorization", "").partition(" ")
         if scheme.lower() == "bearer" and key:
             digest = sha256(key.strip().encode()).hexdigest()
-            configuration = self.parts.configurations.configuration
+            configuration = self.deps.configurations.configuration
             self.customer = configuration.find_contract(digest)
         if self.customer is not None:
             return None
@@ -292,12 +297,12 @@
 
     def _check_length(self) -> _RequestError | None:
         length = self.request.headers.get("Content-Length", "0")
-        if length.isdecimal() and int(length) > self.parts.settings.body_limit:
+        if length.isdecimal() and int(length) > self.deps.settings.body_limit:
             return self._make_length_error()
         return None
 
     def _make_length_error(self) -> _RequestError:
-        limit = self.parts.settings.body_limit
+        limit = self.deps.settings.body_limit
         message = f"The body is over {limit} bytes; send a shorter one."
         return _RequestError(413, message, "body_too_large")
 
@@ -337,9 +342,9 @@
 
     def record_end(self, outcome: Outcome) -> None:
         """Count the request with its outcome."""
-        duration = self.parts.clock.monotonic() - self.arrived
-        self.parts.metrics.record_request(self.operation, self.model, outcome, duration)
-        self.parts.events.record(
+        duration = self.deps.clock.monotonic() - self.arrived
+        self.deps.metrics.record_request(self.operation, self.model, outcome, duration)
+        self.deps.events.record(
             "request.answered",
             request=self.request_id,
             customer=self.customer.customer if self.customer else "",
--- a/packages/mustardquay-node/src/mustardquay_node/caller_servers.py
+++ b/packages/mustardquay-node/src/mustardquay_node/caller_servers.py
@@ -11,7 +11,7 @@
 from mustardquay.clocks import Clock
 from mustardquay.errors import SettingsError
 
-from .callers import CallerParts, NotFoundHandler
+from .caller_handlers import CallerDependencies, NotFoundHandler
 from .generations import ChatHandler, CompletionHandler, ModelsHandler
 from .node_settings import EntrySettings
 from .services import ServiceHandler
@@ -28,11 +28,15 @@
     """Serves callers over HTTP, or HTTPS where a certificate is set."""
 
     def __init__(
-        self, settings: EntrySettings, address: str, parts: CallerParts, clock: Clock
+        self,
+        settings: EntrySettings,
+        address: str,
+        deps: CallerDependencies,
+        clock: Clock,
     ):
         self._settings = settings
         self._address = address
-        self._parts = parts
+        self._deps = deps
         self._clock = clock
         self._port = settings.port
         self._server: HTTPServer | None = None
@@ -83,7 +87,7 @@
         """
         limit: timedelta = self._settings.progress_timeout
         oldest = self._clock.monotonic() - limit
-        for handler, sink in list(self._parts.streams):
+        for handler, sink in list(self._deps.streams):
             if sink.blocked_since is not None and sink.blocked_since < oldest:
                 handler.drop()
 
@@ -103,7 +107,7 @@
         return context
 
     def _make_application(self) -> Application:
-        options = {"parts": self._parts}
+        options = {"deps": self._deps}
         return Application(
             [
                 (r"/v1/chat/completions", ChatHandler, options),
--- a/packages/mustardquay-node/src/mustardquay_node/dispatchers.py
+++ b/packages/mustardquay-node/src/mustardquay_node/dispatchers.py
@@ -33,7 +33,7 @@
 from .dialers import Dialer
 from .exchanges import Call, Exchange, Sink
 from .links import Identity, Link, LinkOptions
-from .views import subtract_refused, update_view
+from .upstream_views import subtract_refused, update_view
 
 __all__ = ["Dispatcher", "DispatcherOptions"]
 
@@ -163,17 +163,17 @@
             lambda: self._budget.spend(work.customer, self.now()),
             lambda retry: self._back_off(work, retry),
         )
-        window = self._link_options.silence + REATTACH_MARGIN
+        window = self._link_options.heartbeat_timeout + REATTACH_MARGIN
         exchange = Exchange(call, sink, state, self, window, self._end)
         self._exchanges.add(exchange)
         self._empty.clear()
         exchange.start()
         return exchange
 
-    def beat(self) -> None:
+    def send_heartbeat(self) -> None:
         """Send a heartbeat on every link now."""
         for link in self.open_links:
-            link.beat()
+            link.send_heartbeat()
 
     async def wait_until_empty(self) -> None:
         """Wait until no request is in flight."""
@@ -318,7 +318,7 @@
             peer.dialer.note_open()
         self._events.record("link.opened", peer=peer.name)
         for exchange in self._list_exchanges(peer):
-            exchange.find_link()
+            exchange.note_link_opened()
 
     def _note_lost(self, peer: _Peer, link: Link, reason: str) -> None:
         if peer.link is link:
@@ -329,13 +329,13 @@
         if self._peers.get(peer.name) is peer and peer.dialer is not None:
             peer.dialer.start()
         for exchange in self._list_exchanges(peer):
-            exchange.lose_link()
+            exchange.note_link_lost()
 
     def _note_failed_dial(self, peer: _Peer, refused: bool) -> None:
         if not refused:
             return
         for exchange in self._list_exchanges(peer):
-            exchange.lose_agent()
+            exchange.note_agent_gone()
 
     def _list_exchanges(self, peer: _Peer) -> list[Exchange]:
         return [self._streams[stream][0] for stream in sorted(peer.streams)]
@@ -367,7 +367,7 @@
         update_view(view, heartbeat, self._rates, self.now())
         view.draining = view.draining or peer.leaving
         if self._quarantine.merge(heartbeat.crashes, self.now()):
-            self.beat()
+            self.send_heartbeat()
 
     def _apply_cache_events(self, peer: _Peer, message: CacheEvents) -> None:
         if peer.view is None:
--- a/packages/mustardquay-node/src/mustardquay_node/domains.py
+++ b/packages/mustardquay-node/src/mustardquay_node/domain_controllers.py
@@ -5,10 +5,10 @@
 
 from .controllers import Controller
 
-__all__ = ["Domains"]
+__all__ = ["DomainControllers"]
 
 
-class Domains:
+class DomainControllers:
     """The running controllers of an entry, by control domain."""
 
     def __init__(self, make_controller: Callable[[str], Controller]):
--- a/packages/mustardquay-node/src/mustardquay_node/entries.py
+++ b/packages/mustardquay-node/src/mustardquay_node/entries.py
@@ -20,12 +20,12 @@
 from mustardquay.revisions import Catalogue, Configuration, Edit
 
 from .admins import AdminParts, AdminServer
-from .authorities import Authorities
+from .caller_handlers import CallerDependencies, InFlight
 from .caller_servers import CallerServer
-from .callers import CallerParts, InFlight
 from .controllers import make_cost_check
 from .dispatchers import Dispatcher, DispatcherOptions
 from .editors import ConfigurationEditor
+from .entry_controllers import EntryControllers
 from .links import Link
 from .loops import start_loop
 from .node_settings import Settings
@@ -56,43 +56,43 @@
         assert settings.entry is not None
         self._settings = settings.entry
         super().__init__(settings, clock, seed, write_event, self._is_reader)
-        parts = self._parts
+        deps = self._parts
         self._draining = False
         self._membership = Membership(settings.link.silence)
         self._known_models: set[str] = set()
         self._known_adapters: set[str] = set()
         self._editor = ConfigurationEditor(
             self._keeper,
-            parts.platform.tables,
-            parts.platform.objects,
-            parts.clock,
-            parts.random,
+            deps.platform.tables,
+            deps.platform.objects,
+            deps.clock,
+            deps.random,
             self._make_catalogue,
-            checks=(make_cost_check(parts.platform.tables, self._find_instance),),
+            checks=(make_cost_check(deps.platform.tables, self._find_instance),),
         )
         self._recorder = Recorder(
-            parts.platform.tables,
-            parts.platform.objects,
-            parts.clock,
-            parts.random,
-            f"{settings.node.name}-{parts.incarnation}",
+            deps.platform.tables,
+            deps.platform.objects,
+            deps.clock,
+            deps.random,
+            f"{settings.node.name}-{deps.incarnation}",
             self._settings.claim_lifetime,
             self._settings.claim_window,
         )
-        self._sweeper = ClaimSweeper(parts.platform.tables, parts.clock)
+        self._sweeper = ClaimSweeper(deps.platform.tables, deps.clock)
         self._dispatcher = Dispatcher(
-            parts.identity,
-            parts.links,
+            deps.identity,
+            deps.links,
             DispatcherOptions(self._settings.attempts, self._settings.retry_ratio),
-            parts.clock,
-            parts.random,
-            parts.events,
-            parts.quarantine,
+            deps.clock,
+            deps.random,
+            deps.events,
+            deps.quarantine,
             self._make_heartbeat,
             self._receive,
         )
-        self._authorities = Authorities(
-            parts,
+        self._controllers = EntryControllers(
+            deps,
             self._keeper,
             self._settings.lease_term,
             self._find_instance,
@@ -102,7 +102,9 @@
         self._in_flight = InFlight()
         self._server = self._make_server()
         self._admin = AdminServer(
-            self._make_admin_parts(), settings.node.address, settings.node.admin_port
+            self._make_admin_dependencies(),
+            settings.node.address,
+            settings.node.admin_port,
         )
         self._tasks: list[asyncio.Task[None]] = []
         self._disconnect: Callable[[], None] = lambda: None
@@ -125,7 +127,7 @@
     @property
     def held_domains(self) -> list[str]:
         """Return the control domains whose lease this process holds."""
-        return self._authorities.held
+        return self._controllers.held
 
     def list_reachable(self) -> set[str]:
         """Return the names of the upstreams that this entry can send work to."""
@@ -137,27 +139,29 @@
 
     async def start(self) -> None:
         """Start the links, the configuration updates and the server for callers."""
-        parts = self._parts
+        deps = self._parts
         self._watch(
             {
                 "running": lambda: self._dispatcher.running,
                 "links": lambda: len(self._dispatcher.open_links),
             }
         )
-        parts.metrics.start()
-        await parts.platform.start()
-        self._disconnect = connect_configuration(self._keeper, self._dispatcher.beat)
+        deps.metrics.start()
+        await deps.platform.start()
+        self._disconnect = connect_configuration(
+            self._keeper, self._dispatcher.send_heartbeat
+        )
         await self._keeper.start()
         self._recorder.start()
-        self._authorities.start()
+        self._controllers.start()
         self._server.start()
         self._admin.start()
         self._tasks = [
-            start_loop(self._refresh_instances, INSTANCE_LIST_INTERVAL, parts.random),
+            start_loop(self._refresh_instances, INSTANCE_LIST_INTERVAL, deps.random),
             start_loop(self._server.drop_slow_callers, SLOW_CALLER_INTERVAL),
-            start_loop(self._sweep_claims, CLAIM_SWEEP_INTERVAL, parts.random),
+            start_loop(self._sweep_claims, CLAIM_SWEEP_INTERVAL, deps.random),
         ]
-        parts.events.record("process.started")
+        deps.events.record("process.started")
 
     async def drain(self) -> None:
         """Refuse new requests and wait until every request has its outcome.
@@ -189,7 +193,7 @@
         self._disconnect()
         for task in self._tasks:
             task.cancel()
-        await self._authorities.close()
+        await self._controllers.close()
         await self._recorder.close()
         await self._server.close()
         self._dispatcher.close()
@@ -220,7 +224,7 @@
         return await self._editor.preview(edit)
 
     def _make_server(self) -> CallerServer:
-        parts = CallerParts(
+        deps = CallerDependencies(
             settings=self._settings,
             services=self._parts.settings.services,
             configurations=self._keeper,
@@ -235,7 +239,7 @@
             streams=set(),
         )
         address = self._parts.settings.node.address
-        return CallerServer(self._settings, address, parts, self._parts.clock)
+        return CallerServer(self._settings, address, deps, self._parts.clock)
 
     def _make_heartbeat(self) -> Heartbeat:
         return Heartbeat(
@@ -308,7 +312,7 @@
         chosen = choose_agents(self.name, entries, agents, self._settings.agents)
         self._agents = len(agents)
         self._dispatcher.set_agents(chosen, leaving)
-        await self._authorities.set_instances(entries, agents)
+        await self._controllers.set_instances(entries, agents)
 
     def list_faults(self) -> tuple[str, ...]:
         """Return the reasons why this process takes no new work, a sentence each."""
@@ -321,7 +325,7 @@
             faults.append("No agent is reached.")
         return tuple(faults)
 
-    def _make_admin_parts(self) -> AdminParts:
+    def _make_admin_dependencies(self) -> AdminParts:
         return AdminParts(
             operator_keys=self._settings.operator_keys,
             ring=self._parts.events,
--- a/packages/mustardquay-node/src/mustardquay_node/authorities.py
+++ b/packages/mustardquay-node/src/mustardquay_node/entry_controllers.py
@@ -14,20 +14,20 @@
 
 from .configurations import ConfigurationKeeper
 from .controllers import Controller, lease_changed, rows_written
-from .domains import Domains
+from .domain_controllers import DomainControllers
 from .nodes import NodeParts
 
-__all__ = ["Authorities"]
+__all__ = ["EntryControllers"]
 
 logger = logging.getLogger(__name__)
 
 
-class Authorities:
+class EntryControllers:
     """Runs a controller for each domain that this entry may hold the lease of."""
 
     def __init__(
         self,
-        parts: NodeParts,
+        deps: NodeParts,
         keeper: ConfigurationKeeper,
         term: timedelta,
         find_instance: Callable[[str], str],
@@ -38,12 +38,12 @@
         `find_instance` returns the instance of an upstream, and `notify_changed`
         notifies the agent of an upstream that its order row has changed.
         """
-        self._parts = parts
+        self._deps = deps
         self._keeper = keeper
         self._term = term
         self._find_instance = find_instance
         self._notify_changed = notify_changed
-        self._domains = Domains(self._make_controller)
+        self._domains = DomainControllers(self._make_controller)
         self._agents = 1
 
     @property
@@ -67,18 +67,18 @@
     ) -> None:
         """Compete for the domains that the instance lists assign to this process."""
         self._agents = max(len(agents), 1)
-        name = self._parts.identity.process
+        name = self._deps.identity.process
         await self._domains.set_domains(choose_domains(name, entries, agents))
 
     def _make_controller(self, domain: str) -> Controller:
-        parts = self._parts
+        deps = self._deps
         return Controller(
             domain,
-            f"{parts.identity.process}-{parts.incarnation}",
-            parts.platform.tables,
+            f"{deps.identity.process}-{deps.incarnation}",
+            deps.platform.tables,
             self._keeper,
-            parts.clock,
-            parts.random,
+            deps.clock,
+            deps.random,
             find_instance=self._find_instance,
             count_agents=lambda: self._agents,
             term=self._term,
@@ -87,13 +87,13 @@
     def _note_lease(self, sender: Controller, held: bool, fence: int) -> None:
         if self._domains.owns(sender):
             kind = "lease.acquired" if held else "lease.lost"
-            self._parts.events.record(kind, domain=sender.domain, fence=fence)
+            self._deps.events.record(kind, domain=sender.domain, fence=fence)
 
     def _note_rows(self, sender: Controller, rows: dict[str, OrderRow]) -> None:
         if not self._domains.owns(sender):
             return
         for upstream, row in rows.items():
-            self._parts.events.record(
+            self._deps.events.record(
                 "order.written", upstream=upstream, **_describe_order(row)
             )
             self._notify_changed(upstream)
--- a/packages/mustardquay-node/src/mustardquay_node/exchanges.py
+++ b/packages/mustardquay-node/src/mustardquay_node/exchanges.py
@@ -31,7 +31,7 @@
 )
 from mustardquay.works import UpstreamView, Work
 
-from .resumes import build_resumed_body
+from .resumed_bodies import build_resumed_body
 
 __all__ = ["Call", "Dispatch", "Exchange", "Sink"]
 
@@ -160,21 +160,21 @@
             self._stop_timer()
         self._run_actions(self._state.frame_received(self._attempt_number, frame))
 
-    def lose_link(self) -> None:
+    def note_link_lost(self) -> None:
         """Handle the loss of the current attempt's link."""
         self._run_actions(self._state.link_lost())
 
-    def find_link(self) -> None:
+    def note_link_opened(self) -> None:
         """Request the rest of the answer when a link is open again."""
         if self._reattach is not None:
             self._send_reattach(self._reattach)
 
-    def lose_agent(self) -> None:
+    def note_agent_gone(self) -> None:
         """Stop waiting for a link to the agent, whose process has ended."""
         if self._reattach is not None:
             self._fail_reattach()
 
-    def leave(self) -> None:
+    def note_caller_left(self) -> None:
         """Handle the disconnection of the caller."""
         self._run_actions(self._state.caller_left())
 
--- a/packages/mustardquay-node/src/mustardquay_node/frames.py
+++ b/packages/mustardquay-node/src/mustardquay_node/frames.py
@@ -35,7 +35,7 @@
     Started,
 )
 
-from .columns import read_chunks, write_chunks
+from .chunk_columns import read_chunks, write_chunks
 from .heartbeats import (
     read_cache_events,
     read_heartbeat,
--- a/packages/mustardquay-node/src/mustardquay_node/generations.py
+++ b/packages/mustardquay-node/src/mustardquay_node/generations.py
@@ -15,7 +15,9 @@
 from mustardquay.works import Work
 
 from .answers import BufferedSink, StreamSink, encode_error
-from .bodies import (
+from .caller_handlers import OUTCOME_HEADER, CallerHandler
+from .exchanges import Call
+from .request_bodies import (
     BodyError,
     ChatBody,
     CompletionBody,
@@ -23,8 +25,6 @@
     count_prompt_tokens,
     read_body,
 )
-from .callers import OUTCOME_HEADER, CallerHandler
-from .exchanges import Call
 
 __all__ = ["ChatHandler", "CompletionHandler", "ModelsHandler"]
 
@@ -75,7 +75,7 @@
         Guards against a limit that exceeds any engine's memory: the engine would plan
         for that many tokens, stop answering and grow until it is killed.
         """
-        limit = self.parts.settings.output_limit
+        limit = self.deps.settings.output_limit
         if (body.output_limit or 0) <= limit:
             return True
         message = f"max_tokens is over {limit}, which the models hold; lower it."
@@ -95,7 +95,7 @@
             model=model,
             adapter=adapter,
             prompt_tokens=count_prompt_tokens(prompt),
-            output_tokens=self.parts.lengths.predict(
+            output_tokens=self.deps.lengths.predict(
                 contract.customer, self.operation, body.output_limit or 0
             ),
             prefix=hash_prefix(prompt),
@@ -106,16 +106,16 @@
             finish_by=deadlines.finish_by,
             fingerprint=xxh3_64_intdigest(self.request.path.encode() + data),
         )
-        version = self.parts.configurations.configuration.version
+        version = self.deps.configurations.configuration.version
         return Call(
             work, "POST", self.request.path, JSON_HEADERS, data, body.stream, version
         )
 
     async def _answer_whole(self, call: Call) -> None:
         sink = BufferedSink()
-        exchange = self.parts.dispatcher.run(call, sink)
+        exchange = self.deps.dispatcher.run(call, sink)
         sink.connect(exchange.note_taken)
-        self.set_left_callback(exchange.leave)
+        self.set_left_callback(exchange.note_caller_left)
         end = await sink.ended
         self.send_end(end, sink)
         if end.outcome is Outcome.ANSWERED:
@@ -125,14 +125,14 @@
         sink = StreamSink(
             self._begin_stream,
             self._write,
-            self.parts.clock.monotonic,
-            self.parts.turns.add,
+            self.deps.clock.monotonic,
+            self.deps.callbacks.add,
         )
-        exchange = self.parts.dispatcher.run(call, sink)
+        exchange = self.deps.dispatcher.run(call, sink)
         sink.connect(exchange.note_taken)
-        self.set_left_callback(exchange.leave)
+        self.set_left_callback(exchange.note_caller_left)
         watched = (self, sink)
-        self.parts.streams.add(watched)
+        self.deps.streams.add(watched)
         try:
             end = await sink.ended
             if not sink.streaming:
@@ -140,12 +140,12 @@
             else:
                 await self._end_stream(end, sink)
         finally:
-            self.parts.streams.discard(watched)
+            self.deps.streams.discard(watched)
         self._record_stream(call, sink, exchange.state.tokens_delivered)
 
     def drop(self) -> None:
         """Close the connection of a caller that doesn't read its stream."""
-        self.parts.events.record("caller.dropped", request=self.request_id)
+        self.deps.events.record("caller.dropped", request=self.request_id)
         self.request.connection.close()
         # Tornado reports only connections that the caller has closed. Without this
         # call the request would wait forever, and so would a drain.
@@ -206,14 +206,14 @@
         if sink.first_data_at is None or sink.last_data_at is None:
             return
         delay = sink.first_data_at - self.arrived
-        self.parts.metrics.record_first_token(self.operation, self.model, delay)
+        self.deps.metrics.record_first_token(self.operation, self.model, delay)
         self._record_tokens(call, tokens, sink.last_data_at - sink.first_data_at)
 
     def _record_tokens(
         self, call: Call, tokens: int, generation: timedelta | None
     ) -> None:
-        self.parts.lengths.learn(call.work.customer, self.operation, tokens)
-        self.parts.metrics.record_tokens(
+        self.deps.lengths.learn(call.work.customer, self.operation, tokens)
+        self.deps.metrics.record_tokens(
             self.operation, self.model, call.work.prompt_tokens, tokens, generation
         )
 
--- a/packages/mustardquay-node/src/mustardquay_node/links.py
+++ b/packages/mustardquay-node/src/mustardquay_node/links.py
@@ -48,9 +48,9 @@
 
     keys: Sequence[str]
     heartbeat: timedelta
-    silence: timedelta
+    heartbeat_timeout: timedelta
     frame_limit: int
-    gather: timedelta = timedelta(milliseconds=1)
+    batch_interval: timedelta = timedelta(milliseconds=1)
     """Minimum interval between two batches; after a longer pause there is no delay."""
 
 
@@ -113,7 +113,7 @@
         self._queue(message)
         return True
 
-    def beat(self) -> None:
+    def send_heartbeat(self) -> None:
         """Queue a heartbeat at once, because its contents have changed."""
         if self.is_open:
             self._queue(self._make_heartbeat(self))
@@ -312,8 +312,8 @@
     def _schedule_flush(self) -> None:
         # The tokens of one engine step arrive over several iterations of the event
         # loop. A batch for each iteration costs both ends more than its contents.
-        gather = self._options.gather.total_seconds()
-        wait = self._flushed_at + gather - self._loop.time()
+        batch_interval = self._options.batch_interval.total_seconds()
+        wait = self._flushed_at + batch_interval - self._loop.time()
         if wait > 0:
             self._loop.call_later(wait, self.flush)
         else:
@@ -328,7 +328,7 @@
         # no error for many minutes. The peer always sends heartbeats, so without any
         # data the connection is unusable and a new one is worth a try.
         self._idle_seconds += self._measure_interval()
-        if self._idle_seconds > self._options.silence.total_seconds():
+        if self._idle_seconds > self._options.heartbeat_timeout.total_seconds():
             self.close("no heartbeat within the heartbeat timeout")
             return
         if self._open:
--- a/packages/mustardquay-node/src/mustardquay_node/listeners.py
+++ b/packages/mustardquay-node/src/mustardquay_node/listeners.py
@@ -74,7 +74,7 @@
     def beat(self) -> None:
         """Send a heartbeat on every link now."""
         for link in self:
-            link.beat()
+            link.send_heartbeat()
 
     def send(self, message: Message) -> None:
         """Send a message to every entry."""
--- a/packages/mustardquay-node/src/mustardquay_node/recorders.py
+++ b/packages/mustardquay-node/src/mustardquay_node/recorders.py
@@ -96,18 +96,20 @@
         key: ClaimKey,
         digest: str,
         attempt: str,
-        give_up: timedelta,
+        store_deadline: timedelta,
         finish_by: timedelta,
     ) -> Judgement:
         """Return what a request with this key may do; never `JOIN`.
 
-        Until `give_up`, a monotonic instant, an unavailable store is waited for. The
-        request is then refused as `not-run`, which is certain since nothing was sent.
+        Until `store_deadline`, a monotonic instant, an unavailable store is waited for.
+        The request is then refused as `not-run`, which is certain as nothing was sent.
         If another attempt holds the key, its claim is polled until `finish_by`, the
         monotonic instant of the request's deadline.
         """
         while True:
-            judged = await self._write_claim(key, digest, attempt, give_up, finish_by)
+            judged = await self._write_claim(
+                key, digest, attempt, store_deadline, finish_by
+            )
             if judged.verdict is Verdict.JOIN:
                 judged = await self._await_claim(judged.claim, finish_by)
             if judged.verdict is not Verdict.JOIN:
@@ -149,14 +151,14 @@
         key: ClaimKey,
         digest: str,
         attempt: str,
-        give_up: timedelta,
+        store_deadline: timedelta,
         finish_by: timedelta,
     ) -> Judgement:
         if self._writer.full:
             return _refuse(Reason.OVERLOAD, "Too many claims wait for the store")
         claim = self._make_claim(key, digest, attempt, finish_by)
         item = self._writer.begin(claim)
-        remaining = (give_up - self._clock.monotonic()).total_seconds()
+        remaining = (store_deadline - self._clock.monotonic()).total_seconds()
         try:
             await asyncio.wait({item.result}, timeout=max(remaining, 0))
         except asyncio.CancelledError:
--- a/packages/mustardquay-node/src/mustardquay_node/services.py
+++ b/packages/mustardquay-node/src/mustardquay_node/services.py
@@ -24,7 +24,7 @@
 from mustardquay.works import Work
 
 from .answers import BufferedSink
-from .callers import SKIPPED_HEADERS, CallerHandler
+from .caller_handlers import SKIPPED_HEADERS, CallerHandler
 from .exchanges import Call
 from .node_settings import ServiceSettings
 
@@ -75,7 +75,7 @@
             self.refuse(403, message, "service_not_allowed")
             return
         self.model = name_service(service)
-        settings = self.parts.services.get(service, ServiceSettings())
+        settings = self.deps.services.get(service, ServiceSettings())
         if is_repeatable(settings, self.request.method or "GET", path):
             await self._run_idempotent(self._make_call(path, repeatable=True))
         else:
@@ -83,9 +83,9 @@
 
     async def _run_idempotent(self, call: Call) -> None:
         sink = BufferedSink()
-        exchange = self.parts.dispatcher.run(call, sink)
+        exchange = self.deps.dispatcher.run(call, sink)
         sink.connect(exchange.note_taken)
-        self.set_left_callback(exchange.leave)
+        self.set_left_callback(exchange.note_caller_left)
         self.send_end(await sink.ended, sink)
 
     async def _run_once(self, service: str, path: str) -> None:
@@ -97,7 +97,7 @@
             )
             self.refuse(400, message, "idempotency_key_missing", KEY_HEADER)
             return
-        lifetime = self.parts.settings.claim_lifetime
+        lifetime = self.deps.settings.claim_lifetime
         self.set_header(LIFETIME_HEADER, str(int(lifetime.total_seconds())))
         judgement = await self._claim(service, key, path)
         await self._follow_verdict(judgement, path)
@@ -108,7 +108,7 @@
         method, query = self.request.method or "", self.request.query
         parts = (method.encode(), path.encode(), query.encode(), self.body)
         digest = sha256(b"\0".join(parts)).hexdigest()
-        return await self.parts.recorder.claim(
+        return await self.deps.recorder.claim(
             ClaimKey(contract.customer, service, key),
             digest,
             self.request_id,
@@ -117,7 +117,7 @@
         )
 
     async def _follow_verdict(self, judgement: Judgement, path: str) -> None:
-        self.parts.events.record(
+        self.deps.events.record(
             "claim.judged",
             request=self.request_id,
             customer=self.customer.customer if self.customer else "",
@@ -143,7 +143,7 @@
         sink = BufferedSink()
         call = self._make_call(path, repeatable=False)
         call = replace(call, claim=orjson.dumps(describe_claim(claim)))
-        self.parts.dispatcher.run(call, sink)
+        self.deps.dispatcher.run(call, sink)
         first = await sink.first
         if not sink.ended.done():
             # The request's deadline has passed. The work goes on, and its answer is
@@ -155,7 +155,7 @@
             self.send_end(end, sink)
 
     def _record_claim(self, claim: Claim, end: Finish, sink: BufferedSink) -> None:
-        recorder = self.parts.recorder
+        recorder = self.deps.recorder
         if end.outcome is Outcome.ANSWERED:
             answer = RecordedAnswer(sink.status, sink.headers, sink.body)
             recorder.record_answer(claim, answer)
@@ -197,7 +197,7 @@
             fingerprint=xxh3_64_intdigest(named + data),
             repeatable=repeatable,
         )
-        version = self.parts.configurations.configuration.version
+        version = self.deps.configurations.configuration.version
         return Call(work, method, target, headers, data, False, version)
 
 
--- a/packages/mustardquay-node/tests/test_turns.py
+++ b/packages/mustardquay-node/tests/test_callback_batches.py
@@ -1,6 +1,6 @@
 import asyncio
 
-from mustardquay_node.turns import TurnQueue
+from mustardquay_node.callback_batches import CallbackBatcher
 
 
 async def test_a_callback_that_fails_does_not_hold_up_the_others():
@@ -10,7 +10,7 @@
     stop for good, since each waits for a callback that was dropped.
     """
     called = []
-    queue = TurnQueue()
+    queue = CallbackBatcher()
 
     def fail():
         raise RuntimeError("the stream was finished")
--- a/packages/mustardquay-node/tests/test_sessions.py
+++ b/packages/mustardquay-node/tests/test_sessions.py
@@ -133,12 +133,12 @@
     def lose(self, upstream):
         self.linked.discard(upstream)
         self.note(f"link to {upstream} is lost")
-        self.exchange.lose_link()
+        self.exchange.note_link_lost()
 
     def find(self, upstream):
         self.linked.add(upstream)
         self.note(f"link to {upstream} is open")
-        self.exchange.find_link()
+        self.exchange.note_link_opened()
 
 
 def head(s, i):
@@ -203,7 +203,7 @@
     session.lose("u1")
     session.gone.add("u1")
     await session.wait(0.1)
-    session.exchange.lose_agent()
+    session.exchange.note_agent_gone()
     await session.wait(0.2)
     session.hear(Started(2, 0), head(2, 1), token(2, 2, b"c"), Done(2, 3))
 
@@ -214,7 +214,7 @@
         session.linked.discard(name)
     session.lose("u1")
     session.gone.add("u1")
-    session.exchange.lose_agent()
+    session.exchange.note_agent_gone()
     await session.wait(0.6)
     session.find("u2")
     await session.wait(3)
