--- a/packages/mustardquay-node/src/mustardquay_node/exchanges.py
+++ b/packages/mustardquay-node/src/mustardquay_node/exchanges.py
@@ -260,7 +260,7 @@
         work = call.work
         now = self._dispatch.now()
         # A stream that has begun is worth resuming also after the first-token deadline.
-        start_by = work.finish_by if action.resume else work.start_by
+        start_deadline = work.finish_by if action.resume else work.start_by
         return Attempt(
             stream=self._stream,
             request=work.request,
@@ -277,7 +277,7 @@
             output_tokens=work.output_tokens,
             share=work.share,
             priority=work.priority,
-            start_within=start_by - now,
+            start_within=start_deadline - now,
             finish_within=work.finish_by - now,
             prefix=work.prefix,
             fingerprint=work.fingerprint,
--- a/packages/mustardquay-node/tests/test_callback_batches.py
+++ b/packages/mustardquay-node/tests/test_callback_batches.py
@@ -4,10 +4,10 @@
 
 
 async def test_a_callback_that_fails_does_not_hold_up_the_others():
-    """One caller's stream fails as it is written, in a turn that writes many.
+    """Writing one caller's stream fails in a batch that writes many streams.
 
-    The other callers must still get their tokens; otherwise their streams would
-    stop for good, since each waits for a callback that was dropped.
+    The other callers must still get their tokens. If their callbacks were dropped,
+    their streams would stop for good.
     """
     called = []
     queue = CallbackBatcher()
--- a/packages/mustardquay-node/tests/test_links.py
+++ b/packages/mustardquay-node/tests/test_links.py
@@ -7,8 +7,8 @@
 from mustardquay_node.links import Identity, Link, LinkOptions
 
 
-class StoppedLoop:
-    """A loop whose time the test sets, and whose timers it calls."""
+class ManualLoop:
+    """An event loop whose time the test sets; its timers never fire."""
 
     def __init__(self):
         self.now = 0.0
@@ -43,31 +43,31 @@
         lambda link, reason: lost.append(reason),
     )
     link.lost = lost
-    link._loop = StoppedLoop()
+    link._loop = ManualLoop()
     link._last_heartbeat = 0.0
     return link
 
 
-def beat_at(link, *instants):
+def run_heartbeats_at(link, *instants):
     for instant in instants:
         link._loop.now = instant
         link._run_heartbeat()
 
 
-async def test_link_is_closed_after_the_time_of_silence(link):
-    beat_at(link, 1, 2, 3, 4)
+async def test_link_is_closed_after_the_heartbeat_timeout(link):
+    run_heartbeats_at(link, 1, 2, 3, 4)
     assert not link.lost
-    beat_at(link, 5)
+    run_heartbeats_at(link, 5)
     assert link.lost
 
 
-async def test_process_that_was_paused_does_not_take_its_links_for_silent(link):
+async def test_suspended_process_keeps_its_links_on_resuming(link):
     """
-    A host under load stops the entry for a minute. All agents are well, and their
-    heartbeats wait in the sockets. As the entry wakes it must read them, and not
-    close every link and disturb every request on them.
+    A host under load suspends the entry for a minute. All agents are healthy, and their
+    heartbeats wait in the sockets. The resumed entry must read them first; otherwise it
+    would close every link and interrupt every request.
     """
-    beat_at(link, 1, 61)
+    run_heartbeats_at(link, 1, 61)
     assert not link.lost
-    beat_at(link, 62, 63)
+    run_heartbeats_at(link, 62, 63)
     assert link.lost
--- a/packages/mustardquay-node/tests/test_recorders.py
+++ b/packages/mustardquay-node/tests/test_recorders.py
@@ -1,4 +1,4 @@
-"""Stateful tests of claims: two entries, one table service, a virtual clock."""
+"""Stateful tests of claims with two entries, one table service and a virtual clock."""
 
 import asyncio
 from collections import Counter, defaultdict, deque
@@ -29,38 +29,40 @@
 LONG_BODY = 20_000
 
 
-class Fate(Enum):
+class WriteOutcome(Enum):
     DONE = "done"
     DOWN = "down"
-    LOST = "applied, and the answer lost"
-    VANISHED = "not applied, and nobody can tell"
-    DELAYED = "unclear, and applied seconds later"
+    LOST = "applied, but the result lost"
+    VANISHED = "not applied, with an unknown result"
+    DELAYED = "applied seconds later, with an unknown result"
 
 
 class Tables:
-    """A table service in memory, each of whose transactions has a fate."""
+    """A table service in memory that can fail each transaction in another way."""
 
     def __init__(self):
         self.rows = {}
         self.objects = {}
-        self.fates = deque()
+        self.write_outcomes = deque()
         self.down = False
         self.delayed = set()
 
     async def transact(self, transaction):
         await asyncio.sleep(LATENCY)
-        fate = self.fates.popleft() if self.fates else Fate.DONE
-        if self.down or fate is Fate.DOWN:
+        write_outcome = (
+            self.write_outcomes.popleft() if self.write_outcomes else WriteOutcome.DONE
+        )
+        if self.down or write_outcome is WriteOutcome.DOWN:
             raise StoreUnavailable("down")
-        if fate is Fate.DELAYED:
+        if write_outcome is WriteOutcome.DELAYED:
             task = asyncio.ensure_future(self._apply_later(transaction))
             self.delayed.add(task)
             task.add_done_callback(self.delayed.discard)
-        if fate in (Fate.VANISHED, Fate.DELAYED):
+        if write_outcome in (WriteOutcome.VANISHED, WriteOutcome.DELAYED):
             raise StoreResultUnknown("lost")
         result = self._apply(transaction)
         await asyncio.sleep(LATENCY)
-        if fate is Fate.LOST:
+        if write_outcome is WriteOutcome.LOST:
             raise StoreResultUnknown("lost")
         return result
 
@@ -102,7 +104,7 @@
 
 
 class Process:
-    """One incarnation of an entry, which can be killed between two steps."""
+    """One incarnation of an entry; can be killed between any two steps."""
 
     def __init__(self, tables, clock, name, seed):
         self.alive = True
@@ -113,24 +115,24 @@
         )
         self.recorder.start()
 
-    async def _pass(self, call):
-        # What left a killed process still takes effect; nothing comes back to it.
+    async def _forward(self, call):
+        # A call that a killed process had sent still takes effect, but never returns.
         result = await asyncio.shield(asyncio.ensure_future(call))
         if not self.alive:
             await asyncio.get_running_loop().create_future()
         return result
 
     def transact(self, transaction):
-        return self._pass(self._tables.transact(transaction))
+        return self._forward(self._tables.transact(transaction))
 
     def read(self, table, key):
-        return self._pass(self._tables.read(table, key))
+        return self._forward(self._tables.read(table, key))
 
     def put(self, name, data):
-        return self._pass(self._tables.put(name, data))
+        return self._forward(self._tables.put(name, data))
 
     def get(self, name):
-        return self._pass(self._tables.get(name))
+        return self._forward(self._tables.get(name))
 
     def run(self, coroutine):
         task = asyncio.get_running_loop().create_task(coroutine)
@@ -140,12 +142,12 @@
         self.alive = False
         for task in self.tasks:
             task.cancel()
-        # A killed process withdraws nothing, so its writer is cut first.
+        # A killed process withdraws no claims, so its writer is stopped first.
         await self.recorder.close(timedelta())
 
 
 class Claims(RuleBasedStateMachine):
-    """Callers that repeat at two entries, while processes and the store fail."""
+    """Callers retry at two entries, while processes and the store fail."""
 
     @initialize(seed=st.integers(0, 1000))
     def begin(self, seed):
@@ -158,34 +160,34 @@
         self.answers = {}
         self.outcomes = []
         self.pending = Counter()
-        self.faults = []
+        self.violations = []
         self.incarnations = 0
         self.entries = [None, None]
         self.work = set()
-        for place in (0, 1):
-            self._run(self._start(place))
+        for index in (0, 1):
+            self._run(self._start(index))
 
     def _run(self, coroutine):
         return self.loop.run_until_complete(coroutine)
 
-    async def _start(self, place):
+    async def _start(self, index):
         self.incarnations += 1
-        name = f"entry-{place}-{self.incarnations}"
-        self.entries[place] = Process(
+        name = f"entry-{index}-{self.incarnations}"
+        self.entries[index] = Process(
             self.tables, self.clock, name, self.random.random()
         )
 
     @rule(
-        place=st.integers(0, 1),
+        index=st.integers(0, 1),
         key=st.sampled_from(["k1", "k2"]),
         body=st.sampled_from(["one", "one", "two"]),
         end=st.sampled_from(["answer", "answer", "not-run", "unknown", "late"]),
         long=st.booleans(),
-        patience=st.sampled_from([1.0, 5.0]),
+        timeout=st.sampled_from([1.0, 5.0]),
     )
-    def call(self, place, key, body, end, long, patience):
-        process = self.entries[place]
-        call = self._serve(process, key, body, end, long, patience)
+    def call(self, index, key, body, end, long, timeout):
+        process = self.entries[index]
+        call = self._serve(process, key, body, end, long, timeout)
 
         async def begin():
             process.run(call)
@@ -193,23 +195,25 @@
         self._run(begin())
 
     @rule(
-        place=st.integers(0, 1),
-        patience=st.sampled_from([0.01, 0.03, 0.05, 1.0]),
+        index=st.integers(0, 1),
+        timeout=st.sampled_from([0.01, 0.03, 0.05, 1.0]),
     )
-    def call_of_a_caller_that_leaves(self, place, patience):
-        process = self.entries[place]
+    def call_of_a_caller_that_leaves(self, index, timeout):
+        process = self.entries[index]
         call = self._serve(process, "k1", "one", "answer", False, 1.0)
 
         async def begin():
             task = asyncio.ensure_future(call)
             process.tasks.add(task)
-            asyncio.get_running_loop().call_later(patience, task.cancel)
+            asyncio.get_running_loop().call_later(timeout, task.cancel)
 
         self._run(begin())
 
-    @rule(fates=st.lists(st.sampled_from(Fate), min_size=1, max_size=4))
-    def store_errs(self, fates):
-        self.tables.fates.extend(fates)
+    @rule(
+        write_outcomes=st.lists(st.sampled_from(WriteOutcome), min_size=1, max_size=4)
+    )
+    def store_fails(self, write_outcomes):
+        self.tables.write_outcomes.extend(write_outcomes)
 
     @rule()
     def store_goes_down_or_up(self):
@@ -219,32 +223,31 @@
     def time_passes(self, seconds):
         self._run(asyncio.sleep(seconds))
 
-    @rule(place=st.integers(0, 1))
-    def entry_is_killed(self, place):
-        process = self.entries[place]
+    @rule(index=st.integers(0, 1))
+    def entry_is_killed(self, index):
+        process = self.entries[index]
         self._run(process.kill())
-        self._run(self._start(place))
+        self._run(self._start(index))
 
     @rule()
     def claims_expire(self):
         self._run(asyncio.sleep(2 * LIFETIME.total_seconds()))
 
-    async def _serve(self, process, key, body, end, long, patience):
+    async def _serve(self, process, key, body, end, long, timeout):
         begun = self.clock.monotonic()
         judged = await process.recorder.claim(
             ClaimKey("syndesmos", "booking", key),
             body,
             f"r{self.random.random()}/1",
-            begun + timedelta(seconds=patience),
+            begun + timedelta(seconds=timeout),
             begun + DEADLINE,
         )
         waited = self.clock.monotonic() - begun
-        if waited > DEADLINE + timedelta(seconds=patience + 1):
-            self.faults.append(f"{key}: waited {waited}")
+        if waited > DEADLINE + timedelta(seconds=timeout + 1):
+            self.violations.append(f"{key}: waited {waited}")
         self.outcomes.append(judged.verdict)
         if judged.verdict is Verdict.RUN:
-            # The frame has left for the agent: what comes does not depend on the
-            # life of this entry.
+            # The attempt was sent to the agent, and runs even if this entry dies.
             claim = judged.claim
             task = asyncio.ensure_future(
                 self._execute(process, claim, key, body, end, long)
@@ -254,7 +257,7 @@
         elif judged.verdict is Verdict.REPLAY:
             self._check_replay(key, body, judged.answer)
         elif judged.verdict is Verdict.MISMATCH and judged.claim.digest == body:
-            self.faults.append(f"{key}: refused its own body")
+            self.violations.append(f"{key}: refused its own body")
 
     async def _execute(self, process, claim, key, body, end, long):
         recorder = process.recorder
@@ -278,16 +281,16 @@
     def _note_run(self, key, claim):
         for earlier in self.executed[key]:
             if self.clock.now() < earlier.expires:
-                self.faults.append(f"{key}: run twice, {earlier.id} and {claim.id}")
+                self.violations.append(f"{key}: run twice, {earlier.id} and {claim.id}")
         self.executed[key].append(claim)
 
     def _check_replay(self, key, body, answer):
         if (key, body, answer.body) not in self.answers.values():
-            self.faults.append(f"{key}: the answer is not its own")
+            self.violations.append(f"{key}: the answer is not its own")
 
     @invariant()
-    def promises_hold(self):
-        assert not getattr(self, "faults", [])
+    def no_violations(self):
+        assert not getattr(self, "violations", [])
 
     def teardown(self):
         if not hasattr(self, "loop"):
@@ -299,18 +302,18 @@
 
     def _finish(self):
         self.tables.down = False
-        self.tables.fates.clear()
+        self.tables.write_outcomes.clear()
         self._run(asyncio.sleep(200))
         for process in self.entries:
             assert all(task.done() for task in process.tasks), "a request has no end"
             assert process.recorder.waiting == 0
         self._check_that_the_key_is_free_or_its_run_known()
-        assert not self.faults
+        assert not self.violations
         for process in self.entries:
             self._run(process.kill())
 
     def _check_that_the_key_is_free_or_its_run_known(self):
-        """A claim that was withdrawn must not block its key."""
+        """Check that no withdrawn claim blocks its key."""
         for row in self.tables.rows.values():
             if row.value["state"] != "claimed":
                 continue
@@ -321,12 +324,12 @@
                 assert row.value["id"] in ran, "a claim is held by nobody"
 
 
-def test_claimed_work_runs_at_most_once_and_repeats_hear_its_answer():
-    """Two entries, callers that repeat with the same key, a store that errs.
+def test_claimed_work_runs_at_most_once_and_retries_get_its_answer():
+    """Two entries, callers that retry with the same key, and a store that fails.
 
-    A user would see a booking made twice, another's answer, or a call that never
-    ends: entries are killed, the store loses answers, applies writes late or is
-    down, callers leave, and the same key comes again at both entries at once.
+    Guards against a booking made twice, the answer of another call, and a call that
+    never ends. Entries are killed, callers disconnect, the store loses results, applies
+    writes late or is unavailable, and both entries get the same key at once.
     """
     run_state_machine_as_test(
         Claims,
@@ -364,7 +367,7 @@
 
 
 class ClaimSession:
-    """Callers of one key at two entries, and the writes that the store sees."""
+    """Calls under one key at two entries, with a log of the store's calls."""
 
     def __init__(self, loop):
         self.clock = LoopClock(loop)
@@ -392,13 +395,13 @@
         self.note(f"store: read {row.value['state'] if row else 'nothing'}")
         return row
 
-    async def claim(self, entry, body="body", patience=1.0):
+    async def claim(self, entry, body="body", timeout=1.0):
         begun = self.clock.monotonic()
         judged = await self.entries[entry - 1].recorder.claim(
             ClaimKey("syndesmos", "bookings", "k"),
             body,
             f"r{entry}/1",
-            begun + timedelta(seconds=patience),
+            begun + timedelta(seconds=timeout),
             begun + DEADLINE,
         )
         answer = f" {judged.answer.body!r}" if judged.answer else ""
@@ -421,7 +424,7 @@
 
 
 async def answer_lost_after_the_write(session):
-    session.tables.fates.append(Fate.LOST)
+    session.tables.write_outcomes.append(WriteOutcome.LOST)
     await session.end(1, await session.claim(1))
 
 
@@ -434,7 +437,9 @@
 
 
 async def write_applied_after_the_caller_gave_up(session):
-    session.tables.fates.extend([Fate.DELAYED, *[Fate.DOWN] * 6])
+    session.tables.write_outcomes.extend(
+        [WriteOutcome.DELAYED, *[WriteOutcome.DOWN] * 6]
+    )
     await session.claim(1)
     await asyncio.sleep(5)
     await session.end(2, await session.claim(2))
@@ -456,7 +461,7 @@
 
 
 @pytest.mark.parametrize("script", SCRIPTS, ids=lambda script: script.__name__)
-def test_claim_session_is_as_it_was(script, snapshot):
+def test_claim_session_matches_snapshot(script, snapshot):
     loop = VirtualLoop()
 
     async def play():
--- a/packages/mustardquay-node/tests/test_sessions.py
+++ b/packages/mustardquay-node/tests/test_sessions.py
@@ -1,4 +1,4 @@
-"""Golden files of whole sessions: what an entry sends, hears and tells, and when."""
+"""Snapshots of whole sessions: all that an entry sends and receives, with times."""
 
 import asyncio
 from datetime import timedelta
@@ -29,7 +29,7 @@
 
 
 class Session:
-    """One exchange at an entry; the agents are what a script makes of them."""
+    """One exchange at an entry; a script plays the agents."""
 
     def __init__(self, loop, repeatable, streamed):
         self.clock = LoopClock(loop)
@@ -63,7 +63,7 @@
     def note(self, line):
         self.lines.append(f"{self.now().total_seconds():7.3f}  {line}")
 
-    # What the exchange needs of its process.
+    # Methods that the exchange calls as its dispatcher.
 
     def now(self):
         return self.clock.monotonic()
@@ -105,7 +105,7 @@
         facts = "".join(f" {name}={value}" for name, value in details.items())
         self.note(f"event {kind} {upstream}{facts}".rstrip())
 
-    # Where the answer goes.
+    # Methods that the exchange calls as its sink.
 
     def take_head(self, status, headers):
         self.note(f"caller <- head {status}")
@@ -120,9 +120,9 @@
         reason = f", {end.refusal.reason}" if end.refusal else ""
         self.note(f"caller <- end: {end.outcome}{reason}")
 
-    # What a script does.
+    # Methods for scripts.
 
-    def hear(self, *frames):
+    def receive_frames(self, *frames):
         for frame in frames:
             self.note(f"agent -> entry: {type(frame).__name__} {frame.index}")
             self.exchange.receive(frame)
@@ -130,12 +130,12 @@
     async def wait(self, seconds):
         await asyncio.sleep(seconds)
 
-    def lose(self, upstream):
+    def lose_link(self, upstream):
         self.linked.discard(upstream)
         self.note(f"link to {upstream} is lost")
         self.exchange.note_link_lost()
 
-    def find(self, upstream):
+    def open_link(self, upstream):
         self.linked.add(upstream)
         self.note(f"link to {upstream} is open")
         self.exchange.note_link_opened()
@@ -149,106 +149,112 @@
     return Chunk(s, i, 1, b'data: {"choices":[{"delta":{"content":"%s"}}]}\n\n' % text)
 
 
-def begin(s):
+def start_stream(s):
     return Started(s, 0), head(s, 1), token(s, 2, b"a"), token(s, 3, b"b")
 
 
 async def stream_of_a_draft(session):
-    session.hear(*begin(1))
+    session.receive_frames(*start_stream(1))
     await session.wait(0.05)
-    session.hear(token(1, 4, b"c"), Done(1, 5))
+    session.receive_frames(token(1, 4, b"c"), Done(1, 5))
 
 
 async def booking(session):
     await session.wait(0.01)
-    session.hear(Started(1, 0))
+    session.receive_frames(Started(1, 0))
     await session.wait(0.2)
-    session.hear(head(1, 1), Chunk(1, 2, 0, b"booked"), Done(1, 3))
+    session.receive_frames(head(1, 1), Chunk(1, 2, 0, b"booked"), Done(1, 3))
 
 
 async def enquiry(session):
-    session.hear(Started(1, 0), head(1, 1), Chunk(1, 2, 0, b"free"), Done(1, 3))
+    session.receive_frames(
+        Started(1, 0), head(1, 1), Chunk(1, 2, 0, b"free"), Done(1, 3)
+    )
 
 
 async def upstream_crash(session):
-    session.hear(*begin(1))
+    session.receive_frames(*start_stream(1))
     await session.wait(0.05)
-    session.hear(Failed(1, 4, FailureKind.CRASH, "The upstream died."))
+    session.receive_frames(Failed(1, 4, FailureKind.CRASH, "The upstream died."))
     await session.wait(0.2)
-    session.hear(Started(2, 0), head(2, 1), token(2, 2, b"c"), Done(2, 3))
+    session.receive_frames(Started(2, 0), head(2, 1), token(2, 2, b"c"), Done(2, 3))
 
 
 async def late_frames_of_a_replaced_attempt(session):
-    await upstream_crash_without_end(session)
-    session.hear(token(1, 4, b"late"), Done(1, 5))
-    session.hear(Started(2, 0), head(2, 1), token(2, 2, b"c"), Done(2, 3))
+    await stall_upstream(session)
+    session.receive_frames(token(1, 4, b"late"), Done(1, 5))
+    session.receive_frames(Started(2, 0), head(2, 1), token(2, 2, b"c"), Done(2, 3))
 
 
-async def upstream_crash_without_end(session):
-    session.hear(*begin(1))
-    session.hear(Failed(1, 4, FailureKind.STALLED, "No progress."))
+async def stall_upstream(session):
+    session.receive_frames(*start_stream(1))
+    session.receive_frames(Failed(1, 4, FailureKind.STALLED, "No progress."))
     await session.wait(0.2)
 
 
 async def link_cut(session):
-    session.hear(*begin(1))
-    session.lose("u1")
+    session.receive_frames(*start_stream(1))
+    session.lose_link("u1")
     await session.wait(0.3)
-    session.find("u1")
-    session.hear(token(1, 3, b"b"), token(1, 4, b"c"), Done(1, 5))
+    session.open_link("u1")
+    session.receive_frames(token(1, 3, b"b"), token(1, 4, b"c"), Done(1, 5))
 
 
 async def killed_agent(session):
-    session.hear(*begin(1))
-    session.lose("u1")
+    session.receive_frames(*start_stream(1))
+    session.lose_link("u1")
     session.gone.add("u1")
     await session.wait(0.1)
     session.exchange.note_agent_gone()
     await session.wait(0.2)
-    session.hear(Started(2, 0), head(2, 1), token(2, 2, b"c"), Done(2, 3))
+    session.receive_frames(Started(2, 0), head(2, 1), token(2, 2, b"c"), Done(2, 3))
 
 
 async def all_links_lost(session):
-    session.hear(*begin(1))
+    session.receive_frames(*start_stream(1))
     for name in ("u2", "u3", "u1"):
         session.linked.discard(name)
-    session.lose("u1")
+    session.lose_link("u1")
     session.gone.add("u1")
     session.exchange.note_agent_gone()
     await session.wait(0.6)
-    session.find("u2")
+    session.open_link("u2")
     await session.wait(3)
-    session.hear(Started(2, 0), head(2, 1), token(2, 2, b"c"), Done(2, 3))
+    session.receive_frames(Started(2, 0), head(2, 1), token(2, 2, b"c"), Done(2, 3))
 
 
 async def booking_whose_agent_never_comes_back(session):
-    session.hear(Started(1, 0))
-    session.lose("u1")
+    session.receive_frames(Started(1, 0))
+    session.lose_link("u1")
     await session.wait(7)
 
 
 async def booking_that_never_came(session):
-    session.lose("u1")
+    session.lose_link("u1")
     await session.wait(0.3)
-    session.find("u1")
-    session.hear(Refused(1, 0, Reason.TOMBSTONE, "It never came.", None))
-    session.hear(Started(2, 0), head(2, 1), Chunk(2, 2, 0, b"booked"), Done(2, 3))
+    session.open_link("u1")
+    session.receive_frames(Refused(1, 0, Reason.TOMBSTONE, "It never came.", None))
+    session.receive_frames(
+        Started(2, 0), head(2, 1), Chunk(2, 2, 0, b"booked"), Done(2, 3)
+    )
 
 
 async def booking_whose_service_drops_its_answer(session):
-    session.hear(Started(1, 0), Failed(1, 1, FailureKind.TRUNCATED, "No end mark."))
+    session.receive_frames(
+        Started(1, 0), Failed(1, 1, FailureKind.TRUNCATED, "No end mark.")
+    )
 
 
 async def booking_past_its_deadline(session):
-    session.hear(Started(1, 0))
+    session.receive_frames(Started(1, 0))
     await session.wait(21)
-    session.hear(head(1, 1), Chunk(1, 2, 0, b"booked"), Done(1, 3))
+    session.receive_frames(head(1, 1), Chunk(1, 2, 0, b"booked"), Done(1, 3))
 
 
 async def drain(session):
     refused = Refused(1, 0, Reason.DRAINING, "Use another.", timedelta(seconds=1))
-    session.hear(refused)
-    session.hear(Started(2, 0), head(2, 1), token(2, 2, b"a"), Done(2, 3))
+    session.receive_frames(refused)
+    session.receive_frames(Started(2, 0), head(2, 1), token(2, 2, b"a"), Done(2, 3))
 
 
 async def no_upstream(session):
@@ -281,7 +287,7 @@
     CASES,
     ids=lambda part: getattr(part, "__name__", ""),
 )
-def test_session_is_as_it_was(script, repeatable, streamed, snapshot):
+def test_session_matches_snapshot(script, repeatable, streamed, snapshot):
     loop = VirtualLoop()
 
     async def play():
