--- a/packages/mustardquay-node/src/mustardquay_node/entries.py
+++ b/packages/mustardquay-node/src/mustardquay_node/entries.py
@@ -19,7 +19,7 @@
 from mustardquay.predictions import OutputLengths
 from mustardquay.revisions import Catalogue, Configuration, Edit
 
-from .admins import AdminParts, AdminServer
+from .admins import AdminDependencies, AdminServer
 from .caller_handlers import CallerDependencies, InFlight
 from .caller_servers import CallerServer
 from .controllers import make_cost_check
@@ -29,7 +29,7 @@
 from .links import Link
 from .loops import start_loop
 from .node_settings import Settings
-from .nodes import Node, connect_configuration, spread_configuration
+from .nodes import Node, exchange_configuration, subscribe_to_configuration
 from .recorders import Recorder
 from .services import SERVICE_PREFIX
 from .statuses import Probe, ProcessStatus, UpstreamStatus
@@ -56,13 +56,13 @@
         assert settings.entry is not None
         self._settings = settings.entry
         super().__init__(settings, clock, seed, write_event, self._is_reader)
-        deps = self._parts
+        deps = self._deps
         self._draining = False
         self._membership = Membership(settings.link.silence)
         self._known_models: set[str] = set()
         self._known_adapters: set[str] = set()
         self._editor = ConfigurationEditor(
-            self._keeper,
+            self._replica,
             deps.platform.tables,
             deps.platform.objects,
             deps.clock,
@@ -93,7 +93,7 @@
         )
         self._controllers = EntryControllers(
             deps,
-            self._keeper,
+            self._replica,
             self._settings.lease_term,
             self._find_instance,
             self._notify_order_changed,
@@ -139,7 +139,7 @@
 
     async def start(self) -> None:
         """Start the links, the configuration updates and the server for callers."""
-        deps = self._parts
+        deps = self._deps
         self._watch(
             {
                 "running": lambda: self._dispatcher.running,
@@ -148,10 +148,10 @@
         )
         deps.metrics.start()
         await deps.platform.start()
-        self._disconnect = connect_configuration(
-            self._keeper, self._dispatcher.send_heartbeat
+        self._disconnect = subscribe_to_configuration(
+            self._replica, self._dispatcher.send_heartbeat
         )
-        await self._keeper.start()
+        await self._replica.start()
         self._recorder.start()
         self._controllers.start()
         self._server.start()
@@ -171,16 +171,16 @@
         gets the recorded outcome.
         """
         self._draining = True
-        self._parts.events.record("drain.started")
+        self._deps.events.record("drain.started")
         try:
             async with asyncio.timeout(self._settings.drain_timeout.total_seconds()):
                 await self._in_flight.wait_until_empty()
                 await self._dispatcher.wait_until_empty()
         except TimeoutError:
             left = self._dispatcher.running
-            self._parts.events.record("drain.timed_out", running=left)
+            self._deps.events.record("drain.timed_out", running=left)
             return
-        self._parts.events.record("drain.ended")
+        self._deps.events.record("drain.ended")
 
     async def close(self) -> None:
         """Drain, then stop."""
@@ -197,24 +197,24 @@
         await self._recorder.close()
         await self._server.close()
         self._dispatcher.close()
-        await self._keeper.close()
+        await self._replica.close()
         await self._admin.close()
-        await self._parts.platform.close()
-        self._parts.metrics.close()
+        await self._deps.platform.close()
+        self._deps.metrics.close()
 
     async def read_configuration(self) -> Configuration:
         """Return the newest configuration, for operators."""
         try:
-            await self._keeper.poll()
+            await self._replica.poll()
         except MustardquayError:
-            if not self._keeper.current:
+            if not self._replica.current:
                 raise
-        return self._keeper.configuration
+        return self._replica.configuration
 
     async def apply_edit(self, edit: Edit) -> int:
         """Apply an operator's edit and return the version that contains it."""
         version = await self._editor.propose(edit)
-        self._parts.events.record(
+        self._deps.events.record(
             "configuration.edited", version=version, author=edit.author
         )
         return version
@@ -226,25 +226,25 @@
     def _make_server(self) -> CallerServer:
         deps = CallerDependencies(
             settings=self._settings,
-            services=self._parts.settings.services,
-            configurations=self._keeper,
+            services=self._deps.settings.services,
+            configurations=self._replica,
             dispatcher=self._dispatcher,
             recorder=self._recorder,
-            clock=self._parts.clock,
-            events=self._parts.events,
-            metrics=self._parts.metrics,
+            clock=self._deps.clock,
+            events=self._deps.events,
+            metrics=self._deps.metrics,
             lengths=OutputLengths(),
             in_flight=self._in_flight,
             draining=lambda: self._draining,
             streams=set(),
         )
-        address = self._parts.settings.node.address
-        return CallerServer(self._settings, address, deps, self._parts.clock)
+        address = self._deps.settings.node.address
+        return CallerServer(self._settings, address, deps, self._deps.clock)
 
     def _make_heartbeat(self) -> Heartbeat:
         return Heartbeat(
-            version=self._keeper.version,
-            confirmed=self._keeper.current,
+            version=self._replica.version,
+            confirmed=self._replica.current,
             draining=self._draining,
             agents=self._agents,
         )
@@ -257,14 +257,14 @@
 
     def _receive(self, link: Link, message: Message) -> None:
         if isinstance(message, Heartbeat):
-            now = self._parts.clock.monotonic()
+            now = self._deps.clock.monotonic()
             peer = link.peer
             self._membership.note_heartbeat(
                 peer.process, peer.incarnation, message.draining, now
             )
             self._known_models.update(message.models)
             self._known_adapters.update(message.adapters)
-        spread_configuration(self._keeper, link, message)
+        exchange_configuration(self._replica, link, message)
 
     async def _sweep_claims(self) -> None:
         # Only a few entries of each availability zone sweep, so that the number of
@@ -273,9 +273,9 @@
             await self._sweeper.sweep()
 
     def _is_reader(self) -> bool:
-        now = self._parts.clock.monotonic()
+        now = self._deps.clock.monotonic()
         entries = self._membership.list_instances("entry", now)
-        zone = self._parts.identity.availability_zone
+        zone = self._deps.identity.availability_zone
         return self.name in choose_readers(entries, zone)
 
     def _make_catalogue(self) -> Catalogue | None:
@@ -292,7 +292,7 @@
 
     async def _refresh_instances(self) -> None:
         try:
-            instances = await self._parts.platform.instances.list_instances()
+            instances = await self._deps.platform.instances.list_instances()
         except MustardquayError:
             # Without a new list the links stay as they are; heartbeats still show
             # which processes are alive and which are draining.
@@ -300,7 +300,7 @@
         await self._apply_instances(instances)
 
     async def _apply_instances(self, instances: tuple[Instance, ...]) -> None:
-        now = self._parts.clock.monotonic()
+        now = self._deps.clock.monotonic()
         self._membership.update(instances, now)
         agents = self._membership.list_instances("agent", now)
         entries = self._membership.list_instances("entry", now)
@@ -319,17 +319,17 @@
         faults = []
         if self._draining:
             faults.append("The entry drains.")
-        if not self._keeper.current:
+        if not self._replica.current:
             faults.append("The configuration is not confirmed.")
         if not any(view.reachable for view in self._dispatcher.views):
             faults.append("No agent is reached.")
         return tuple(faults)
 
-    def _make_admin_dependencies(self) -> AdminParts:
-        return AdminParts(
+    def _make_admin_dependencies(self) -> AdminDependencies:
+        return AdminDependencies(
             operator_keys=self._settings.operator_keys,
-            ring=self._parts.events,
-            metrics=self._parts.metrics,
+            ring=self._deps.events,
+            metrics=self._deps.metrics,
             read_status=self._read_status,
             probe_health=lambda: Probe(True),
             probe_readiness=self._probe_readiness,
@@ -337,21 +337,21 @@
         )
 
     def _read_status(self) -> ProcessStatus:
-        node = self._parts.settings.node
+        node = self._deps.settings.node
         faults = self.list_faults()
-        now = self._parts.clock.monotonic()
+        now = self._deps.clock.monotonic()
         return ProcessStatus(
             process=node.name,
             kind=node.kind,
             availability_zone=node.availability_zone,
             region=node.region,
             version=__version__,
-            configuration=self._keeper.version,
-            peers=self._keeper.peer_versions,
+            configuration=self._replica.version,
+            peers=self._replica.peer_versions,
             ready=not faults,
             draining=self._draining,
             faults=faults,
-            incarnation=self._parts.incarnation,
+            incarnation=self._deps.incarnation,
             running=self._dispatcher.running,
             upstreams=tuple(
                 UpstreamStatus.from_view(view, (now - view.reported_at).total_seconds())
--- a/packages/mustardquay-node/src/mustardquay_node/entry_controllers.py
+++ b/packages/mustardquay-node/src/mustardquay_node/entry_controllers.py
@@ -12,10 +12,10 @@
 from mustardquay.membership import Instance, choose_domains
 from mustardquay.orders import OrderRow
 
-from .configurations import ConfigurationKeeper
+from .configurations import ConfigurationReplica
 from .controllers import Controller, lease_changed, rows_written
 from .domain_controllers import DomainControllers
-from .nodes import NodeParts
+from .nodes import NodeDependencies
 
 __all__ = ["EntryControllers"]
 
@@ -27,8 +27,8 @@
 
     def __init__(
         self,
-        deps: NodeParts,
-        keeper: ConfigurationKeeper,
+        deps: NodeDependencies,
+        replica: ConfigurationReplica,
         term: timedelta,
         find_instance: Callable[[str], str],
         notify_changed: Callable[[str], None],
@@ -39,7 +39,7 @@
         notifies the agent of an upstream that its order row has changed.
         """
         self._deps = deps
-        self._keeper = keeper
+        self._replica = replica
         self._term = term
         self._find_instance = find_instance
         self._notify_changed = notify_changed
@@ -76,7 +76,7 @@
             domain,
             f"{deps.identity.process}-{deps.incarnation}",
             deps.platform.tables,
-            self._keeper,
+            self._replica,
             deps.clock,
             deps.random,
             find_instance=self._find_instance,
--- a/packages/mustardquay-node/src/mustardquay_node/handovers.py
+++ b/packages/mustardquay-node/src/mustardquay_node/handovers.py
@@ -1,4 +1,4 @@
-"""Handovers: one engine reads a prompt, and another one generates from it."""
+"""Disaggregated generations: one engine prefills a prompt, another one decodes."""
 
 from collections.abc import Callable
 from datetime import timedelta
@@ -20,42 +20,43 @@
 from mustardquay.upstream_lists import UpstreamRecord
 
 from .adapters import Prefilled
-from .forwarder_parts import ForwardedRequest, ForwarderParts
+from .forwarder_dependencies import ForwardedRequest, ForwarderDependencies
 from .generators import KeptReading, Ticket
-from .rate_turns import await_turn
+from .rate_reservations import await_reservation
 from .replies import Reply
 from .sends import Send, Sender, SendOptions
 
-__all__ = ["drop_reading", "send_generation"]
+__all__ = ["drop_prefill", "send_generation"]
 
-NOT_TAKEN = (SendResult.NOT_RUN, SendResult.NOT_SENT, SendResult.OTHER_UPSTREAM)
-"""Ends of a hand-over after which the handle is still there, as far as is known."""
+HANDLE_KEPT_ENDS = (SendResult.NOT_RUN, SendResult.NOT_SENT, SendResult.OTHER_UPSTREAM)
+"""Results of a send to the decoding engine after which the handle of the prefill is
+presumably still valid."""
 
 
 async def send_generation(
-    parts: ForwarderParts,
+    deps: ForwarderDependencies,
     request: ForwardedRequest,
     sender: Sender,
     reply: Reply,
     prompt: PromptTraits,
     engines: list[UpstreamRecord],
 ) -> Send | None:
-    """Place a generation and send it; None without an engine or when refused."""
-    planner = parts.planner
-    reading = request.reading
-    if reading is not None and _take_up(parts, request, reading, engines):
+    """Place a generation and send it; None without an engine or if it was refused."""
+    planner = deps.planner
+    prefill = request.prefill
+    if prefill is not None and _take_up(deps, request, prefill, engines):
         try:
-            return await _hand_over(parts, request, sender, reading)
+            return await _hand_over(deps, request, sender, prefill)
         finally:
-            planner.end(reading.ticket)
-    if request.sendings.offered:
-        placement = _choose(parts, request, prompt, engines)
+            planner.end(prefill.ticket)
+    if request.send_history.offered:
+        placement = _choose_placement(deps, request, prompt, engines)
         if placement is not None and not admits_rate_limit_wait(
             request.route, placement
         ):
             return None
     else:
-        placement = _admit(parts, request, reply, prompt, engines)
+        placement = _admit(deps, request, reply, prompt, engines)
     if placement is None:
         return None
     size = len(request.incoming.body)
@@ -64,52 +65,54 @@
     ticket = planner.begin(prompt, placement, size, rank)
     try:
         if placement.prefiller is None:
-            return await _generate_alone(parts, request, sender, ticket)
-        read = await _have_read(parts, request, sender, ticket)
-        if isinstance(read, Send):
+            return await _generate_on_one_engine(deps, request, sender, ticket)
+        outcome = await _prefill(deps, request, sender, ticket)
+        if isinstance(outcome, Send):
             planner.end_reading(ticket)
-            return read
-        engines = parts.upstreams.list_usable(request.service)
-        request.reading = KeptReading(ticket, read)
+            return outcome
+        engines = deps.upstreams.list_usable(request.service)
+        request.prefill = KeptReading(ticket, outcome)
         if not planner.renew_decoder(ticket, engines, request.avoid):
-            drop_reading(parts, request, PrefillLoss.NO_GENERATOR)
+            drop_prefill(deps, request, PrefillLoss.NO_GENERATOR)
             return None
         planner.end_reading(ticket, is_handed_over=True)
-        return await _hand_over(parts, request, sender, request.reading)
+        return await _hand_over(deps, request, sender, request.prefill)
     finally:
         planner.end(ticket)
 
 
 def _take_up(
-    parts: ForwarderParts,
+    deps: ForwarderDependencies,
     request: ForwardedRequest,
-    reading: KeptReading,
+    prefill: KeptReading,
     engines: list[UpstreamRecord],
 ) -> bool:
-    """Have another engine generate from what was read; dropped if none can."""
-    loss = parts.planner.take_up(reading, engines, request.avoid)
+    """Choose another engine to decode a kept prefill; drop it if there is none."""
+    loss = deps.planner.take_up(prefill, engines, request.avoid)
     if loss is not None:
-        drop_reading(parts, request, loss)
+        drop_prefill(deps, request, loss)
         return False
-    placement = reading.ticket.placement
-    parts.events.record(
+    placement = prefill.ticket.placement
+    deps.events.record(
         "reading.kept",
         request=request.id,
         upstream=placement.reader.id,
         decoder=placement.decoder.id,
-        copied=reading.is_handle_used,
+        copied=prefill.is_handle_used,
     )
     return True
 
 
-def drop_reading(parts: ForwarderParts, request: ForwardedRequest, reason: str) -> None:
-    """Give up what was read for a request, and tell it if nothing came of it."""
-    reading, request.reading = request.reading, None
-    if reading is None or reading.is_used:
+def drop_prefill(
+    deps: ForwarderDependencies, request: ForwardedRequest, reason: str
+) -> None:
+    """Discard a request's prefill, and log it if nothing was generated from it."""
+    prefill, request.prefill = request.prefill, None
+    if prefill is None or prefill.is_used:
         return
-    placement = reading.ticket.placement
-    parts.count_unused_reading(reason)
-    parts.events.record(
+    placement = prefill.ticket.placement
+    deps.count_unused_prefill(reason)
+    deps.events.record(
         "reading.unused",
         request=request.id,
         upstream=placement.reader.id,
@@ -120,38 +123,39 @@
 
 
 def _admit(
-    parts: ForwarderParts,
+    deps: ForwarderDependencies,
     request: ForwardedRequest,
     reply: Reply,
     prompt: PromptTraits,
     engines: list[UpstreamRecord],
 ) -> Placement | None:
-    """Place a new generation; refuses it if its answer would be of no use.
+    """Place a new generation; refuse it if its answer would come too late.
 
-    Callers who come back wait behind those who can still be answered in time.
+    Retries of refused callers get a lower rank than requests that can still be answered
+    in time.
     """
-    now = parts.clock.monotonic()
-    time_left = request.measure_left(now)
+    now = deps.clock.monotonic()
+    time_left = request.measure_time_left(now)
     request.is_late = is_retry(request.route, time_left)
     if not request.is_late:
-        placement = _choose(parts, request, prompt, engines)
+        placement = _choose_placement(deps, request, prompt, engines)
         if placement is None:
             return None
-        rest = parts.latency_margins.find_margin(request.route, now)
-        if admits_generation(request.route, placement, time_left, rest):
+        margin = deps.latency_margins.find_margin(request.route, now)
+        if admits_generation(request.route, placement, time_left, margin):
             request.expected = timedelta(seconds=placement.expected_seconds)
             return placement
-        # Who is told to come back can't be in time either.
+        # A refused caller's retry can't meet the latency target either.
         request.is_late = True
-    placement = _choose(parts, request, prompt, engines)
+    placement = _choose_placement(deps, request, prompt, engines)
     if placement is None:
         return None
     if admits_late(request.route, placement, time_left):
         return placement
-    back = draw_retry_delay(placement, time_left, parts.random)
+    retry_after = draw_retry_delay(placement, time_left, deps.random)
     reply.refuse(
         "crowded" if admits_rate_limit_wait(request.route, placement) else "limited",
-        back,
+        retry_after,
         wait_ms=round(placement.wait_seconds * 1000, 1),
         turn_ms=round(placement.limit_wait_seconds * 1000, 1),
         occupancy=round(placement.occupancy, 2),
@@ -159,77 +163,80 @@
     return None
 
 
-def _choose(
-    parts: ForwarderParts,
+def _choose_placement(
+    deps: ForwarderDependencies,
     request: ForwardedRequest,
     prompt: PromptTraits,
     engines: list[UpstreamRecord],
 ) -> Placement | None:
     size = len(request.incoming.body)
     rank = rank_generation(request.route, request.is_late)
-    return parts.planner.choose(prompt, engines, request.avoid, size, rank)
+    return deps.planner.choose(prompt, engines, request.avoid, size, rank)
 
 
-async def _generate_alone(
-    parts: ForwarderParts, request: ForwardedRequest, sender: Sender, ticket: Ticket
+async def _generate_on_one_engine(
+    deps: ForwarderDependencies,
+    request: ForwardedRequest,
+    sender: Sender,
+    ticket: Ticket,
 ) -> Send:
-    """Have one engine read the prompt and generate."""
+    """Have one engine prefill the prompt and decode."""
     placement = ticket.placement
-    await await_turn(parts, ticket.reader_turn)
+    await await_reservation(deps, ticket.reader_turn)
     options = SendOptions(
-        patience=find_first_event_timeout(request.route, placement),
+        first_part_timeout=find_first_event_timeout(request.route, placement),
         fetch_from=placement.holder.address if placement.holder else "",
-        read=_note_first(parts, ticket),
+        on_first_part=_make_first_event_callback(deps, ticket),
     )
     return await sender.run(placement.decoder, options)
 
 
-def _note_used(reading: KeptReading) -> None:
-    reading.is_used = True
+def _note_used(prefill: KeptReading) -> None:
+    prefill.is_used = True
 
 
-def _note_first(
-    parts: ForwarderParts, ticket: Ticket, reading: KeptReading | None = None
+def _make_first_event_callback(
+    deps: ForwarderDependencies, ticket: Ticket, prefill: KeptReading | None = None
 ) -> Callable[[], None]:
-    """Return what is called when the first event shows that the prompt was read."""
-    started = parts.clock.monotonic()
+    """Return the callback for the first event, which ends the prefill."""
+    started = deps.clock.monotonic()
 
     def note() -> None:
-        if reading is not None:
-            _note_used(reading)
-        parts.planner.end_reading(ticket)
-        parts.planner.learn_first(ticket, parts.clock.monotonic() - started)
+        if prefill is not None:
+            _note_used(prefill)
+        deps.planner.end_reading(ticket)
+        deps.planner.learn_first(ticket, deps.clock.monotonic() - started)
 
     return note
 
 
-async def _have_read(
-    parts: ForwarderParts,
+async def _prefill(
+    deps: ForwarderDependencies,
     request: ForwardedRequest,
     sender: Sender,
     ticket: Ticket,
 ) -> Prefilled | Send:
-    """Have an engine read the prompt; returns the failed send if it does not."""
+    """Have an engine prefill the prompt; returns the failed send if it does not."""
     placement = ticket.placement
-    await await_turn(parts, ticket.reader_turn)
-    started = parts.clock.monotonic()
+    await await_reservation(deps, ticket.reader_turn)
+    started = deps.clock.monotonic()
     options = SendOptions(
         prefill_only=True,
         fetch_from=placement.holder.address if placement.holder else "",
-        patience=find_prefill_timeout(request.route, placement),
+        first_part_timeout=find_prefill_timeout(request.route, placement),
     )
     send = await sender.run(placement.reader, options)
-    took = parts.clock.monotonic() - started
-    _log_read(parts, request, placement, took)
+    took = deps.clock.monotonic() - started
+    _log_prefill(deps, request, placement, took)
     if send.end is SendResult.ANSWERED and send.status == 200:
         try:
-            prefilled = parts.adapter.read_prefilled(send.content)
+            prefilled = deps.adapter.read_prefilled(send.content)
         except ProtocolError as error:
             send.detail = str(error)
         else:
-            parts.planner.learn_prefill(ticket, took)
+            deps.planner.learn_prefill(ticket, took)
             return prefilled
-    # Reading a prompt does not run the request, whatever came of it.
+    # A prefill does not count as running the request, whatever its result.
     if send.end is not SendResult.CALLER_LEFT:
         is_refused = send.end in (SendResult.NOT_RUN, SendResult.OTHER_UPSTREAM)
         send.end = SendResult.NOT_RUN if is_refused else SendResult.UNREAD
@@ -237,62 +244,65 @@
 
 
 async def _hand_over(
-    parts: ForwarderParts,
+    deps: ForwarderDependencies,
     request: ForwardedRequest,
     sender: Sender,
-    reading: KeptReading,
+    prefill: KeptReading,
 ) -> Send:
-    """Have the other engine generate from what was read."""
-    send = await _generate_from(parts, request, sender, reading)
-    if send.end not in NOT_TAKEN:
-        reading.is_handle_used = True
+    """Have the other engine decode from the prefill."""
+    send = await _generate_from(deps, request, sender, prefill)
+    if send.end not in HANDLE_KEPT_ENDS:
+        prefill.is_handle_used = True
     return send
 
 
 async def _generate_from(
-    parts: ForwarderParts,
+    deps: ForwarderDependencies,
     request: ForwardedRequest,
     sender: Sender,
-    reading: KeptReading,
+    prefill: KeptReading,
 ) -> Send:
-    """Send to the engine that generates, by handle or else by the cached parts.
+    """Send to the decoding engine, by handle or else by copying cached blocks.
 
-    Guards against handles that lapse at once: the engine that generates refuses, and
-    the reading is lost. The engine that read still holds the prompt among its cached
-    parts, so the other one copies it from there; for some seconds nothing else is
-    tried with that engine.
+    Guards against handles that expire at once: the decoding engine refuses them, and
+    the prefill would be lost. The prefilling engine still has the prompt in its cache,
+    so the decoding engine copies it from there. For some seconds after that, prefills
+    of this engine are only copied.
     """
-    ticket = reading.ticket
+    ticket = prefill.ticket
     placement = ticket.placement
     address, reader = placement.reader.address, placement.reader.id
-    await await_turn(parts, ticket.decoder_turn)
-    if not parts.planner.must_copy(reading):
-        source = parts.adapter.build_kv_source(address, reading.prefilled)
+    await await_reservation(deps, ticket.decoder_turn)
+    if not deps.planner.must_copy(prefill):
+        source = deps.adapter.build_kv_source(address, prefill.prefilled)
         options = SendOptions(
-            kv_source=source, read=_note_first(parts, ticket, reading)
+            kv_source=source,
+            on_first_part=_make_first_event_callback(deps, ticket, prefill),
         )
         send = await sender.run(placement.decoder, options)
         if send.end is not SendResult.NOT_RUN:
             return send
-        now = parts.clock.monotonic()
-        parts.loads.note_expired_handle(reader, now)
+        now = deps.clock.monotonic()
+        deps.loads.note_expired_handle(reader, now)
         sender.log(send, "copy")
-        if not parts.pools.get_window(request.service).take(now):
+        if not deps.pools.get_window(request.service).take(now):
             return send
-        await await_turn(parts, parts.limits.reserve(placement.decoder, now))
-    options = SendOptions(fetch_from=address, read=partial(_note_used, reading))
+        await await_reservation(deps, deps.limits.reserve(placement.decoder, now))
+    options = SendOptions(
+        fetch_from=address, on_first_part=partial(_note_used, prefill)
+    )
     return await sender.run(placement.decoder, options)
 
 
-def _log_read(
-    parts: ForwarderParts,
+def _log_prefill(
+    deps: ForwarderDependencies,
     request: ForwardedRequest,
     placement: Placement,
     took: timedelta,
 ) -> None:
-    """Note how long a prompt took to be read, beside what was expected."""
-    now = parts.clock.monotonic()
-    parts.events.record(
+    """Log the measured and the expected duration of a prefill."""
+    now = deps.clock.monotonic()
+    deps.events.record(
         "prompt.read",
         request=request.id,
         upstream=placement.reader.id,
@@ -306,9 +316,8 @@
         copied_tokens=placement.prefill.copied,
         late=request.is_late,
         rest_ms=round(
-            parts.latency_margins.find_margin(request.route, now).total_seconds()
-            * 1000,
+            deps.latency_margins.find_margin(request.route, now).total_seconds() * 1000,
             1,
         ),
-        samples=round(parts.planner.count_samples(placement.reader.service), 1),
+        samples=round(deps.planner.count_samples(placement.reader.service), 1),
     )
