--- a/packages/mustardquay-node/src/mustardquay_node/entries.py
+++ b/packages/mustardquay-node/src/mustardquay_node/entries.py
@@ -1,4 +1,4 @@
-"""Entries: the process that callers meet."""
+"""The entry process, which serves callers and forwards their requests to agents."""
 
 import asyncio
 from collections.abc import Callable
@@ -20,12 +20,12 @@
 from mustardquay.revisions import Catalogue, Configuration, Edit
 
 from .admins import AdminDependencies, AdminServer
-from .authorities import Authorities
+from .caller_handlers import CallerDependencies, InFlight
 from .caller_servers import CallerServer
-from .callers import CallerParts, InFlight
 from .controllers import make_cost_check
 from .dispatchers import Dispatcher, DispatcherOptions
 from .editors import ConfigurationEditor
+from .entry_controllers import EntryControllers
 from .links import Link
 from .loops import start_loop
 from .node_settings import Settings
@@ -37,14 +37,14 @@
 
 __all__ = ["Entry"]
 
-LIST_INTERVAL = timedelta(seconds=1)
-SWEEP_INTERVAL = timedelta(seconds=1)
-CLAIMS_INTERVAL = timedelta(seconds=1)
-"""Time between two pages of the table of claims, in search of expired ones."""
+INSTANCE_LIST_INTERVAL = timedelta(seconds=1)
+SLOW_CALLER_INTERVAL = timedelta(seconds=1)
+CLAIM_SWEEP_INTERVAL = timedelta(seconds=1)
+"""Interval at which one page of the claim table is checked for expired claims."""
 
 
 class Entry(Node):
-    """One entry: callers on one side, links to agents on the other."""
+    """An entry process: a server for callers and links to agents."""
 
     def __init__(
         self,
@@ -56,47 +56,47 @@
         assert settings.entry is not None
         self._settings = settings.entry
         super().__init__(settings, clock, seed, write_event, self._is_reader)
-        parts = self._deps
+        deps = self._deps
         self._draining = False
         self._membership = Membership(settings.link.silence)
-        self._known: set[str] = set()
+        self._known_models: set[str] = set()
         self._known_adapters: set[str] = set()
         self._editor = ConfigurationEditor(
             self._replica,
-            parts.platform.tables,
-            parts.platform.objects,
-            parts.clock,
-            parts.random,
+            deps.platform.tables,
+            deps.platform.objects,
+            deps.clock,
+            deps.random,
             self._make_catalogue,
-            checks=(make_cost_check(parts.platform.tables, self._find_instance),),
+            checks=(make_cost_check(deps.platform.tables, self._find_instance),),
         )
         self._recorder = Recorder(
-            parts.platform.tables,
-            parts.platform.objects,
-            parts.clock,
-            parts.random,
-            f"{settings.node.name}-{parts.incarnation}",
+            deps.platform.tables,
+            deps.platform.objects,
+            deps.clock,
+            deps.random,
+            f"{settings.node.name}-{deps.incarnation}",
             self._settings.claim_lifetime,
             self._settings.claim_window,
         )
-        self._sweeper = ClaimSweeper(parts.platform.tables, parts.clock)
+        self._sweeper = ClaimSweeper(deps.platform.tables, deps.clock)
         self._dispatcher = Dispatcher(
-            parts.identity,
-            parts.links,
+            deps.identity,
+            deps.links,
             DispatcherOptions(self._settings.attempts, self._settings.retry_ratio),
-            parts.clock,
-            parts.random,
-            parts.events,
-            parts.quarantine,
+            deps.clock,
+            deps.random,
+            deps.events,
+            deps.quarantine,
             self._make_heartbeat,
             self._receive,
         )
-        self._authorities = Authorities(
-            parts,
+        self._controllers = EntryControllers(
+            deps,
             self._replica,
             self._settings.lease_term,
             self._find_instance,
-            self._tell_order_changed,
+            self._notify_order_changed,
         )
         self._agents = 0
         self._in_flight = InFlight()
@@ -111,7 +111,7 @@
 
     @property
     def port(self) -> int:
-        """Return the port for callers; the real one after `start`."""
+        """Return the port for callers; the port actually bound after `start`."""
         return self._server.port
 
     @property
@@ -121,16 +121,16 @@
 
     @property
     def admin_port(self) -> int:
-        """Return the admin port; the real one after `start`."""
+        """Return the admin port; the port actually bound after `start`."""
         return self._admin.port
 
     @property
     def held_domains(self) -> list[str]:
         """Return the control domains whose lease this process holds."""
-        return self._authorities.held
+        return self._controllers.held
 
     def list_reachable(self) -> set[str]:
-        """Return the names of the upstreams that take work from here."""
+        """Return the names of the upstreams that this entry can send work to."""
         return {
             view.name
             for view in self._dispatcher.views
@@ -138,36 +138,37 @@
         }
 
     async def start(self) -> None:
-        """Begin to link, to follow the configuration and to serve callers."""
-        parts = self._deps
+        """Start the links, the configuration updates and the server for callers."""
+        deps = self._deps
         self._watch(
             {
                 "running": lambda: self._dispatcher.running,
                 "links": lambda: len(self._dispatcher.open_links),
             }
         )
-        parts.metrics.start()
-        await parts.platform.start()
+        deps.metrics.start()
+        await deps.platform.start()
         self._disconnect = subscribe_to_configuration(
-            self._replica, self._dispatcher.beat
+            self._replica, self._dispatcher.send_heartbeat
         )
         await self._replica.start()
         self._recorder.start()
-        self._authorities.start()
+        self._controllers.start()
         self._server.start()
         self._admin.start()
         self._tasks = [
-            start_loop(self._follow_list, LIST_INTERVAL, parts.random),
-            start_loop(self._server.drop_slow_callers, SWEEP_INTERVAL),
-            start_loop(self._sweep_claims, CLAIMS_INTERVAL, parts.random),
+            start_loop(self._refresh_instances, INSTANCE_LIST_INTERVAL, deps.random),
+            start_loop(self._server.drop_slow_callers, SLOW_CALLER_INTERVAL),
+            start_loop(self._sweep_claims, CLAIM_SWEEP_INTERVAL, deps.random),
         ]
-        parts.events.record("process.started")
+        deps.events.record("process.started")
 
     async def drain(self) -> None:
-        """Refuse new callers and wait until every request has its outcome.
+        """Refuse new requests and wait until every request has its outcome.
 
-        What exceeds the time limit of the settings is left: its callers see the
-        connection break, and repeats with an idempotency key hear what became of it.
+        Requests that outlast the drain timeout of the settings are abandoned: the
+        connections of their callers break, and a retry with the same idempotency key
+        gets the recorded outcome.
         """
         self._draining = True
         self._deps.events.record("drain.started")
@@ -187,12 +188,12 @@
         await self.stop()
 
     async def stop(self) -> None:
-        """Stop at once; what runs is lost."""
+        """Stop at once; requests in flight are lost."""
         self._draining = True
         self._disconnect()
         for task in self._tasks:
             task.cancel()
-        await self._authorities.close()
+        await self._controllers.close()
         await self._recorder.close()
         await self._server.close()
         self._dispatcher.close()
@@ -211,7 +212,7 @@
         return self._replica.configuration
 
     async def apply_edit(self, edit: Edit) -> int:
-        """Bring an operator's edit into force and return its version."""
+        """Apply an operator's edit and return the version that contains it."""
         version = await self._editor.propose(edit)
         self._deps.events.record(
             "configuration.edited", version=version, author=edit.author
@@ -219,11 +220,11 @@
         return version
 
     async def preview_edit(self, edit: Edit) -> list[str]:
-        """Return what an operator's edit would cost, without applying it."""
+        """Return what the checks report on an edit, such as its cost; apply nothing."""
         return await self._editor.preview(edit)
 
     def _make_server(self) -> CallerServer:
-        parts = CallerParts(
+        deps = CallerDependencies(
             settings=self._settings,
             services=self._deps.settings.services,
             configurations=self._replica,
@@ -238,7 +239,7 @@
             streams=set(),
         )
         address = self._deps.settings.node.address
-        return CallerServer(self._settings, address, parts, self._deps.clock)
+        return CallerServer(self._settings, address, deps, self._deps.clock)
 
     def _make_heartbeat(self) -> Heartbeat:
         return Heartbeat(
@@ -251,7 +252,7 @@
     def _find_instance(self, upstream: str) -> str:
         return self._dispatcher.find_instance(upstream)
 
-    def _tell_order_changed(self, upstream: str) -> None:
+    def _notify_order_changed(self, upstream: str) -> None:
         self._dispatcher.send(upstream, OrderChanged())
 
     def _receive(self, link: Link, message: Message) -> None:
@@ -261,13 +262,13 @@
             self._membership.note_heartbeat(
                 peer.process, peer.incarnation, message.draining, now
             )
-            self._known.update(message.models)
+            self._known_models.update(message.models)
             self._known_adapters.update(message.adapters)
         exchange_configuration(self._replica, link, message)
 
     async def _sweep_claims(self) -> None:
-        # A few entries of each availability zone do it, or its reads would grow
-        # with the fleet.
+        # Only a few entries of each availability zone sweep, so that the number of
+        # reads doesn't grow with the fleet.
         if self._is_reader():
             await self._sweeper.sweep()
 
@@ -278,25 +279,27 @@
         return self.name in choose_readers(entries, zone)
 
     def _make_catalogue(self) -> Catalogue | None:
-        if not self._known:
+        if not self._known_models:
             return None
-        services = {name for name in self._known if name.startswith(SERVICE_PREFIX)}
+        services = {
+            name for name in self._known_models if name.startswith(SERVICE_PREFIX)
+        }
         return Catalogue(
-            models=frozenset(self._known - services),
+            models=frozenset(self._known_models - services),
             adapters=frozenset(self._known_adapters),
             services=frozenset(name.removeprefix(SERVICE_PREFIX) for name in services),
         )
 
-    async def _follow_list(self) -> None:
+    async def _refresh_instances(self) -> None:
         try:
             instances = await self._deps.platform.instances.list_instances()
         except MustardquayError:
-            # Without the list the links stand as they are; heartbeats tell who
-            # lives, and who leaves.
+            # Without a new list the links stay as they are; heartbeats still show
+            # which processes are alive and which are draining.
             return
-        await self._take_list(instances)
+        await self._apply_instances(instances)
 
-    async def _take_list(self, instances: tuple[Instance, ...]) -> None:
+    async def _apply_instances(self, instances: tuple[Instance, ...]) -> None:
         now = self._deps.clock.monotonic()
         self._membership.update(instances, now)
         agents = self._membership.list_instances("agent", now)
@@ -309,10 +312,10 @@
         chosen = choose_agents(self.name, entries, agents, self._settings.agents)
         self._agents = len(agents)
         self._dispatcher.set_agents(chosen, leaving)
-        await self._authorities.follow(entries, agents)
+        await self._controllers.set_instances(entries, agents)
 
     def list_faults(self) -> tuple[str, ...]:
-        """Return why this process takes no new work, one sentence each."""
+        """Return the reasons why this process takes no new work, a sentence each."""
         faults = []
         if self._draining:
             faults.append("The entry drains.")
--- a/packages/mustardquay-node/src/mustardquay_node/frames.py
+++ b/packages/mustardquay-node/src/mustardquay_node/frames.py
@@ -1,6 +1,6 @@
-"""Frames: messages to bytes and back, with Cap'n Proto as the codec.
+"""Codec of the frames on a link, in Cap'n Proto.
 
-Durations travel in microseconds.
+Durations are encoded in microseconds.
 """
 
 from collections.abc import Callable, Sequence
@@ -35,7 +35,7 @@
     Started,
 )
 
-from .columns import read_chunks, write_chunks
+from .chunk_columns import read_chunks, write_chunks
 from .heartbeats import (
     read_cache_events,
     read_heartbeat,
@@ -50,12 +50,12 @@
 WIRE = capnp.load(str(Path(__file__).with_name("wire.capnp")))
 
 TRAVERSAL_LIMIT = 64 * 1024 * 1024
-"""Words that one decoded message may have read, against decompression bombs."""
+"""Traversal limit in words for one message, against amplification attacks."""
 
 
 @dataclass(frozen=True, slots=True)
 class Hello:
-    """Either way on a new link: who I am, and the proof that I belong."""
+    """Handshake message, sent both ways: the sender's identity and its proof."""
 
     process: str
     incarnation: int
@@ -63,7 +63,7 @@
     nonce: bytes
     proof: bytes
     link: int
-    """Number of the link among those of the entry to this agent, from 1."""
+    """Number that the entry gave the link, from 1; higher for each new link."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -76,7 +76,7 @@
 
 
 def encode_batch(batch: Batch) -> bytes:
-    """Return the batch as bytes, without the length before it."""
+    """Return the encoded batch, without its length prefix."""
     built = WIRE.Batch.new_message()
     built.sequence = batch.sequence
     built.physical = batch.stamp.physical
@@ -101,7 +101,7 @@
 
 
 def decode_batch(data: bytes) -> Batch:
-    """Return the batch in `data`; raises `ProtocolError` on anything else."""
+    """Return the batch in `data`; raises `ProtocolError` if it can't be decoded."""
     try:
         with WIRE.Batch.from_bytes(
             data, traversal_limit_in_words=TRAVERSAL_LIMIT
@@ -245,7 +245,7 @@
     return Credit(read.stream, read.size)
 
 
-def _write_mark(name: str) -> Callable[[Any, Started | Done], None]:
+def _make_index_writer(name: str) -> Callable[[Any, Started | Done], None]:
     def write(frame: Any, message: Started | Done) -> None:
         built = frame.init(name)
         built.stream = message.stream
@@ -329,9 +329,9 @@
     Reattach: _write_reattach,
     Cancel: _write_cancel,
     Credit: _write_credit,
-    Started: _write_mark("started"),
+    Started: _make_index_writer("started"),
     Head: _write_head,
-    Done: _write_mark("done"),
+    Done: _make_index_writer("done"),
     Refused: _write_refused,
     Failed: _write_failed,
     Heartbeat: write_heartbeat,
--- a/packages/mustardquay-node/src/mustardquay_node/listeners.py
+++ b/packages/mustardquay-node/src/mustardquay_node/listeners.py
@@ -74,7 +74,7 @@
     def send_heartbeat(self) -> None:
         """Send a heartbeat on every link at once."""
         for link in self:
-            link.beat()
+            link.send_heartbeat()
 
     def send(self, message: Message) -> None:
         """Send a message to every entry."""
--- a/packages/mustardquay-node/src/mustardquay_node/services.py
+++ b/packages/mustardquay-node/src/mustardquay_node/services.py
@@ -1,4 +1,4 @@
-"""Services: calls of plain services, among them those that may run only once."""
+"""Handler of calls to plain services, including those that may run only once."""
 
 from dataclasses import replace
 from datetime import timedelta
@@ -24,27 +24,27 @@
 from mustardquay.works import Work
 
 from .answers import BufferedSink
-from .callers import SKIPPED_HEADERS, CallerHandler
+from .caller_handlers import SKIPPED_HEADERS, CallerHandler
 from .exchanges import Call
 from .node_settings import ServiceSettings
 
 __all__ = ["SERVICE_PREFIX", "ServiceHandler", "is_repeatable", "name_service"]
 
 SERVICE_PREFIX = "services/"
-"""Before a service's name among the models of upstreams, to keep them apart."""
+"""Prefix of service names in the model lists of upstreams, to tell them from models."""
 KEY_HEADER = "Idempotency-Key"
 REPLAYED_HEADER: Header = ("Idempotent-Replayed", "true")
 LIFETIME_HEADER = "Mustardquay-Key-Lifetime"
-"""Tells the caller for how many seconds its key is remembered."""
+"""Tells the caller for how many seconds its idempotency key is stored."""
 
 
 def name_service(service: str) -> str:
-    """Return the name of a service among the models of upstreams."""
+    """Return the name of a service in the model lists of upstreams."""
     return SERVICE_PREFIX + service
 
 
 def is_repeatable(settings: ServiceSettings, method: str, path: str) -> bool:
-    """Return whether a call may be run more than once.
+    """Return whether a call is idempotent, so that it may be run more than once.
 
     >>> is_repeatable(ServiceSettings(idempotent_paths=("/hours",)), "POST", "/hours")
     True
@@ -75,7 +75,7 @@
             self.refuse(403, message, "service_not_allowed")
             return
         self.model = name_service(service)
-        settings = self.parts.services.get(service, ServiceSettings())
+        settings = self.deps.services.get(service, ServiceSettings())
         if is_repeatable(settings, self.request.method or "GET", path):
             await self._run_idempotent(self._make_call(path, repeatable=True))
         else:
@@ -83,9 +83,9 @@
 
     async def _run_idempotent(self, call: Call) -> None:
         sink = BufferedSink()
-        exchange = self.parts.dispatcher.run(call, sink)
+        exchange = self.deps.dispatcher.run(call, sink)
         sink.connect(exchange.note_taken)
-        self.on_caller_left(exchange.leave)
+        self.set_left_callback(exchange.note_caller_left)
         self.send_end(await sink.ended, sink)
 
     async def _run_once(self, service: str, path: str) -> None:
@@ -97,7 +97,7 @@
             )
             self.refuse(400, message, "idempotency_key_missing", KEY_HEADER)
             return
-        lifetime = self.parts.settings.claim_lifetime
+        lifetime = self.deps.settings.claim_lifetime
         self.set_header(LIFETIME_HEADER, str(int(lifetime.total_seconds())))
         judgement = await self._claim(service, key, path)
         await self._follow_verdict(judgement, path)
@@ -108,7 +108,7 @@
         method, query = self.request.method or "", self.request.query
         parts = (method.encode(), path.encode(), query.encode(), self.body)
         digest = sha256(b"\0".join(parts)).hexdigest()
-        return await self.parts.recorder.claim(
+        return await self.deps.recorder.claim(
             ClaimKey(contract.customer, service, key),
             digest,
             self.request_id,
@@ -117,7 +117,7 @@
         )
 
     async def _follow_verdict(self, judgement: Judgement, path: str) -> None:
-        self.parts.events.record(
+        self.deps.events.record(
             "claim.judged",
             request=self.request_id,
             customer=self.customer.customer if self.customer else "",
@@ -143,11 +143,11 @@
         sink = BufferedSink()
         call = self._make_call(path, repeatable=False)
         call = replace(call, claim=orjson.dumps(describe_claim(claim)))
-        self.parts.dispatcher.run(call, sink)
+        self.deps.dispatcher.run(call, sink)
         first = await sink.first
         if not sink.ended.done():
-            # The caller's time is over. The work goes on, and its answer is still
-            # recorded for a repeat with the same key.
+            # The request's deadline has passed. The work goes on, and its answer is
+            # still recorded for a retry with the same key.
             self.send_outcome(first)
         end = await sink.ended
         self._record_claim(claim, end, sink)
@@ -155,7 +155,7 @@
             self.send_end(end, sink)
 
     def _record_claim(self, claim: Claim, end: Finish, sink: BufferedSink) -> None:
-        recorder = self.parts.recorder
+        recorder = self.deps.recorder
         if end.outcome is Outcome.ANSWERED:
             answer = RecordedAnswer(sink.status, sink.headers, sink.body)
             recorder.record_answer(claim, answer)
@@ -180,8 +180,9 @@
         )
         data = self.body
         method = self.request.method or "GET"
-        # The customer counts here: two may well send the same short body, and one
-        # of them must not be refused for what the other's service does.
+        # The fingerprint includes the customer: two customers may well send the same
+        # short body, and one of them must not be quarantined for crashes of the
+        # other's service.
         named = f"{contract.customer}\n{self.model}\n{method}\n{target}\n".encode()
         deadlines = set_deadlines(contract, self.arrived)
         work = Work(
@@ -196,7 +197,7 @@
             fingerprint=xxh3_64_intdigest(named + data),
             repeatable=repeatable,
         )
-        version = self.parts.configurations.configuration.version
+        version = self.deps.configurations.configuration.version
         return Call(work, method, target, headers, data, False, version)
 
 
