--- a/packages/mustardquay-node/src/mustardquay_node/claim_writers.py
+++ b/packages/mustardquay-node/src/mustardquay_node/claim_writers.py
@@ -1,9 +1,10 @@
-"""Claim writers: the grouped transactions of one process on the table of claims.
+"""Group commit of one process's writes to the claim table.
 
-The service takes several hundred writes a second for the whole site, so the writes
-of a short window go into one transaction, one transaction at a time; while it is
-under way the next one gathers. An unclear transaction is read back by sending it
-again: its conditions then fail, and the conflict shows the rows with their ids.
+The table service handles several hundred writes a second for the whole site, so all
+writes of a short window go into one transaction. A process sends one transaction at a
+time, and collects the next one meanwhile. A transaction with an unknown result is sent
+again: if it had been applied, its conditions fail, and the conflict returns the rows
+with the ids of their claims.
 """
 
 import asyncio
@@ -31,29 +32,30 @@
 from mustardquay.retries import choose_backoff
 from mustardquay.tables import Committed, Conflict, Row, TableService
 
-__all__ = ["ClaimWriter", "WaitingWrite"]
+__all__ = ["ClaimWriter", "QueuedWrite"]
 
 BATCH_LIMIT = 100
 WAITING_LIMIT = 10_000
 BACKOFF_CAP = timedelta(milliseconds=400)
-"""Under the lateness that callers tolerate, so that claims go on soon after an
-outage; there is one call at a time from each process."""
+"""Shorter than the lateness that callers tolerate, so that claims proceed soon after
+an outage. Each process sends only one call at a time, so the retries are few."""
 
 logger = logging.getLogger(__name__)
 
 
 @dataclass(slots=True, eq=False)
-class WaitingWrite:
-    """A write that waits for its transaction."""
+class QueuedWrite:
+    """A queued write, until its result is known."""
 
     claim: Claim
     result: "asyncio.Future[ClaimResult | bool]"
-    begins: bool
-    """Whether it makes a claim; otherwise it ends one."""
-    unclear: bool = False
-    """Whether a try of it may have been applied."""
-    alone: bool = False
-    """Whether a conflict could not be told to be its own."""
+    is_new: bool
+    """Whether it creates a claim; otherwise it writes a claim's final state."""
+    may_be_applied: bool = False
+    """Whether an earlier transaction with this write may have been applied."""
+    needs_own_transaction: bool = False
+    """Whether it needs a transaction of its own, since it was in a conflict that
+    doesn't show which of the writes failed."""
     abandoned: bool = False
 
     @property
@@ -63,7 +65,7 @@
 
 
 class ClaimWriter:
-    """Writes claims and their ends, in groups, until the store has taken them."""
+    """Writes new claims and final states in groups, with retries until stored."""
 
     def __init__(
         self,
@@ -78,8 +80,8 @@
         self._random = random
         self._window = window
         self._note_end = note_end
-        self._waiting: deque[WaitingWrite] = deque()
-        self._in_flight: frozenset[WaitingWrite] = frozenset()
+        self._waiting: deque[QueuedWrite] = deque()
+        self._in_flight: frozenset[QueuedWrite] = frozenset()
         self._wake = asyncio.Event()
         self._failures = 0
         self._transactions = 0
@@ -88,25 +90,25 @@
 
     @property
     def transactions(self) -> int:
-        """Return how many transactions were sent."""
+        """Return the number of transactions sent."""
         return self._transactions
 
     @property
     def waiting(self) -> int:
-        """Return how many writes wait for a transaction."""
+        """Return the number of queued writes."""
         return len(self._waiting)
 
     @property
     def full(self) -> bool:
-        """Return whether no more claims may be queued."""
+        """Return whether no new claim may be queued."""
         return self._closing or len(self._waiting) >= WAITING_LIMIT
 
     def start(self) -> None:
-        """Begin to write."""
+        """Start the task that writes."""
         self._task = asyncio.create_task(self._write_all())
 
     async def close(self, timeout: timedelta) -> None:
-        """Write what waits, as far as the store takes it in time, and stop."""
+        """Write what is queued, as far as the timeout permits, and stop."""
         self._closing = True
         self._wake.set()
         if self._task is None:
@@ -115,22 +117,23 @@
         self._task.cancel()
         await asyncio.gather(self._task, return_exceptions=True)
         if self._waiting:
-            logger.warning("%d claim writes were lost in the stop", len(self._waiting))
+            logger.warning("%d claim writes lost on shutdown", len(self._waiting))
 
-    def begin(self, claim: Claim) -> WaitingWrite:
+    def begin(self, claim: Claim) -> QueuedWrite:
         """Queue a new claim; its result is a `ClaimResult`, which may be `JOIN`."""
-        return self._queue(claim, begins=True)
+        return self._queue(claim, is_new=True)
 
     def end(self, claim: Claim) -> "asyncio.Future[bool]":
-        """Queue a claim's new state; the result tells whether the row shows it."""
-        return self._queue(claim, begins=False).result
+        """Queue a claim's final state; the result is whether the row has it."""
+        return self._queue(claim, is_new=False).result
 
-    def abandon(self, item: WaitingWrite) -> None:
-        """Withdraw a claim whose caller has been told not-run or has gone.
+    def abandon(self, item: QueuedWrite) -> None:
+        """Withdraw a claim whose caller got `not-run` or has disconnected.
 
-        Guards against a claim that is applied after its caller heard not-run: its
-        repeat would find the key held by nobody. If a try may have been applied,
-        a not-run row follows it, which also keeps a delayed try from applying.
+        Guards against a claim that is applied after its caller got `not-run`: a retry
+        would find its key claimed by a request that no longer exists. If a write may
+        have been applied, a `not-run` row is written after it, which also makes the
+        conditions of a delayed write fail.
         """
         item.abandoned = True
         if item.result.done():
@@ -141,9 +144,9 @@
             self._waiting.remove(item)
             self._withdraw(item)
 
-    def _queue(self, claim: Claim, begins: bool) -> WaitingWrite:
+    def _queue(self, claim: Claim, is_new: bool) -> QueuedWrite:
         result = asyncio.get_running_loop().create_future()
-        item = WaitingWrite(claim, result, begins)
+        item = QueuedWrite(claim, result, is_new)
         self._waiting.append(item)
         self._wake.set()
         return item
@@ -159,14 +162,16 @@
             if batch:
                 await self._write(batch)
 
-    def _take_batch(self) -> list[WaitingWrite]:
-        """Take waiting items of different keys, in their order per key."""
-        batch: list[WaitingWrite] = []
+    def _take_batch(self) -> list[QueuedWrite]:
+        """Remove queued writes of distinct keys, keeping the order within each key."""
+        batch: list[QueuedWrite] = []
         keys: set[str] = set()
-        left: deque[WaitingWrite] = deque()
+        left: deque[QueuedWrite] = deque()
         for item in self._waiting:
-            fits = len(batch) < BATCH_LIMIT and not (batch and batch[0].alone)
-            fits = fits and not (batch and item.alone)
+            fits = len(batch) < BATCH_LIMIT and not (
+                batch and batch[0].needs_own_transaction
+            )
+            fits = fits and not (batch and item.needs_own_transaction)
             if fits and item.row_key not in keys:
                 batch.append(item)
             else:
@@ -175,7 +180,7 @@
         self._waiting = left
         return batch
 
-    async def _write(self, batch: list[WaitingWrite]) -> None:
+    async def _write(self, batch: list[QueuedWrite]) -> None:
         writes = [ClaimWrite(item.claim) for item in batch]
         self._in_flight = frozenset(batch)
         self._transactions += 1
@@ -183,15 +188,15 @@
             result = await self._tables.transact(group_writes(writes))
         except StoreUnavailable:
             self._in_flight = frozenset()
-            await self._try_again(batch)
+            await self._retry(batch)
             return
         except Exception as error:
-            # Not only `StoreResultUnknown`: whatever went wrong, the write may stand.
-            logger.info("A transaction on claims is unclear: %s", error)
+            # Not only `StoreResultUnknown`: after any error the write may be applied.
+            logger.info("Result of a claim transaction unknown: %s", error)
             self._in_flight = frozenset()
             for item in batch:
-                item.unclear = True
-            await self._try_again(batch)
+                item.may_be_applied = True
+            await self._retry(batch)
             return
         self._in_flight = frozenset()
         self._failures = 0
@@ -200,12 +205,12 @@
         else:
             self._note_conflict(batch, writes, result)
 
-    async def _try_again(self, batch: list[WaitingWrite]) -> None:
+    async def _retry(self, batch: list[QueuedWrite]) -> None:
         self._requeue(batch)
         self._failures += 1
         await self._back_off(self._failures)
 
-    def _requeue(self, batch: Iterable[WaitingWrite]) -> None:
+    def _requeue(self, batch: Iterable[QueuedWrite]) -> None:
         kept = []
         for item in batch:
             if item.abandoned:
@@ -214,8 +219,8 @@
                 kept.append(item)
         self._waiting.extendleft(reversed(kept))
 
-    def _withdraw(self, item: WaitingWrite) -> None:
-        if item.unclear:
+    def _withdraw(self, item: QueuedWrite) -> None:
+        if item.may_be_applied:
             self._release(item.claim)
 
     def _release(self, claim: Claim) -> None:
@@ -225,16 +230,16 @@
         pause = choose_backoff(retry, timedelta.max, self._random, cap=BACKOFF_CAP)
         await asyncio.sleep(pause.total_seconds())
 
-    def _note_committed(self, batch: list[WaitingWrite], result: Committed) -> None:
+    def _note_committed(self, batch: list[QueuedWrite], result: Committed) -> None:
         for item, revision in zip(batch, result.revisions, strict=True):
-            if item.begins:
+            if item.is_new:
                 claim = replace(item.claim, revision=revision)
-                self._settle_claim(item, ClaimResult(ClaimDecision.RUN, claim))
+                self._set_claim_result(item, ClaimResult(ClaimDecision.RUN, claim))
             else:
-                self._settle_end(item, True)
+                self._set_end_result(item, True)
 
     def _note_conflict(
-        self, batch: list[WaitingWrite], writes: list[ClaimWrite], result: Conflict
+        self, batch: list[QueuedWrite], writes: list[ClaimWrite], result: Conflict
     ) -> None:
         if len(batch) == 1:
             self._note_row(batch[0], result.rows[0])
@@ -244,40 +249,40 @@
         for write, row in met:
             self._note_row(items[write.claim.key.row_key], row)
         for write in doubtful:
-            items[write.claim.key.row_key].alone = True
+            items[write.claim.key.row_key].needs_own_transaction = True
         again = [items[write.claim.key.row_key] for write in (*doubtful, *others)]
         self._requeue(again)
 
-    def _note_row(self, item: WaitingWrite, row: Row | None) -> None:
-        if item.begins:
+    def _note_row(self, item: QueuedWrite, row: Row | None) -> None:
+        if item.is_new:
             judged = resolve_claim(item.claim, row, self._clock.now())
             if isinstance(judged, ClaimResult):
-                self._settle_claim(item, judged)
+                self._set_claim_result(item, judged)
                 return
             item.claim = judged
         else:
             amended = rebase_final_write(item.claim, row)
             if amended is None:
-                self._settle_end(item, _stands(item.claim, row))
+                self._set_end_result(item, _has_state(item.claim, row))
                 return
             item.claim = amended
-        item.alone = False
+        item.needs_own_transaction = False
         self._requeue([item])
 
-    def _settle_claim(self, item: WaitingWrite, judged: ClaimResult) -> None:
+    def _set_claim_result(self, item: QueuedWrite, judged: ClaimResult) -> None:
         if not item.abandoned:
             if not item.result.done():
                 item.result.set_result(judged)
         elif judged.decision is ClaimDecision.RUN:
             self._release(judged.claim)
 
-    def _settle_end(self, item: WaitingWrite, stands: bool) -> None:
+    def _set_end_result(self, item: QueuedWrite, has_state: bool) -> None:
         if not item.result.done():
-            item.result.set_result(stands)
+            item.result.set_result(has_state)
         self._note_end(item.row_key)
 
 
-def _stands(claim: Claim, row: Row | None) -> bool:
+def _has_state(claim: Claim, row: Row | None) -> bool:
     if row is None:
         return False
     held = decode_claim(claim.key, row)
--- a/packages/mustardquay-node/src/mustardquay_node/exchanges.py
+++ b/packages/mustardquay-node/src/mustardquay_node/exchanges.py
@@ -1,4 +1,4 @@
-"""Exchanges: carry out what the state machine of one request decides."""
+"""Executes the actions that the state machine of a request decides on."""
 
 import asyncio
 from collections.abc import Callable
@@ -31,19 +31,19 @@
 )
 from mustardquay.works import UpstreamView, Work
 
-from .resumes import build_resumed_body
+from .resumed_bodies import build_resumed_body
 
 __all__ = ["Call", "Dispatch", "Exchange", "Sink"]
 
 CREDIT_STEP = 128 * 1024
-"""Bytes that the caller takes before the agent is told."""
+"""Bytes that the caller takes before the agent gets credit for more."""
 RESUME_LIMIT = 4 * 1024 * 1024
-"""Bytes of a stream that are kept to resume it; longer ones can't be resumed."""
+"""Bytes of a stream kept for resuming it; a longer stream can't be resumed."""
 
 
 @dataclass(frozen=True, slots=True)
 class Call:
-    """One request that was admitted."""
+    """An admitted request."""
 
     work: Work
     method: str
@@ -54,45 +54,45 @@
     version: int
     """Configuration version under which it was admitted."""
     claim: bytes = b""
-    """Claim of work that must not be repeated, in JSON."""
+    """Claim of non-repeatable work, in JSON."""
 
 
 class Sink(Protocol):
-    """Where the answer goes."""
+    """Receives the answer of a request."""
 
     def take_head(self, status: int, headers: tuple[Header, ...]) -> None:
-        """Take status and headers; comes once at the most."""
+        """Receive status and headers; never again once a stream has begun."""
 
     def take_data(self, data: bytes) -> None:
-        """Take the next part of the answer."""
+        """Receive the next part of the answer."""
 
     def answer_early(self, refusal: Refusal) -> None:
-        """Tell the caller that the outcome is unknown; the work goes on."""
+        """Answer the caller with an unknown outcome; the work goes on."""
 
     def finish(self, end: Finish) -> None:
-        """Take the outcome; nothing follows."""
+        """Receive the outcome; nothing follows."""
 
 
 class Dispatch(Protocol):
-    """What an exchange needs of the process it runs in."""
+    """The dispatcher, as an exchange uses it."""
 
     def choose(self, call: Call, avoid: frozenset[str]) -> UpstreamView | Refusal:
         """Return the upstream for the next attempt."""
 
     def reserve(self, exchange: "Exchange") -> int:
-        """Return the stream number of a new attempt."""
+        """Register a new attempt's stream and return its number."""
 
     def release(self, stream: int) -> None:
-        """Forget a stream; its frames are dropped from now on."""
+        """Unregister a stream; its frames are dropped from now on."""
 
     def send(self, upstream: str, message: Message) -> bool:
         """Send over the upstream's link; False when none is open."""
 
     def reach(self, upstream: str, incarnation: int) -> bool | None:
-        """Return whether this incarnation has a link; None if it is gone."""
+        """Return whether this incarnation is linked, or None if it is gone."""
 
     def expect_cached(self, upstream: str, work: Work) -> int:
-        """Return the prompt tokens that the upstream should have cached."""
+        """Return the prompt tokens that the upstream is expected to have cached."""
 
     def now(self) -> timedelta:
         """Return the monotonic time."""
@@ -102,7 +102,7 @@
 
 
 class Exchange:
-    """One request on its way; not for use after its end."""
+    """One request in flight, from admission to its outcome; can't be reused."""
 
     def __init__(
         self,
@@ -111,85 +111,87 @@
         state: RequestState,
         dispatch: Dispatch,
         reattach_window: timedelta,
-        ended: "Callable[[Exchange], None]",
+        on_ended: "Callable[[Exchange], None]",
     ):
         self._call = call
         self._sink = sink
         self._state = state
         self._dispatch = dispatch
         self._reattach_window = reattach_window
-        self._ended = ended
+        self._on_ended = on_ended
         self._loop = asyncio.get_running_loop()
         self._stream = 0
-        self._stream_number = 0
+        self._attempt_number = 0
         self._reattach: ReattachAttempt | None = None
         self._deadline: asyncio.TimerHandle | None = None
         self._timer: asyncio.TimerHandle | None = None
         self._delivered: list[bytes] = []
         self._delivered_size = 0
-        self._taken = 0
+        self._uncredited = 0
 
     @property
     def call(self) -> Call:
-        """Return what the request asks for."""
+        """Return the admitted request."""
         return self._call
 
     @property
     def state(self) -> RequestState:
-        """Return the state machine."""
+        """Return the state machine of the request."""
         return self._state
 
     @property
     def stream(self) -> int:
-        """Return the stream number of the present attempt."""
+        """Return the stream number of the current attempt; 0 if there is none."""
         return self._stream
 
     def start(self) -> None:
-        """Begin, and arm the deadline."""
+        """Start the request and its deadline timer."""
         remaining = self._call.work.finish_by - self._dispatch.now()
         seconds = max(remaining.total_seconds(), 0)
-        self._deadline = self._loop.call_later(seconds, self._pass_deadline)
-        self._act(self._state.start())
+        self._deadline = self._loop.call_later(seconds, self._on_deadline)
+        self._run_actions(self._state.start())
 
     def receive(self, frame: AttemptFrame) -> None:
-        """Take a frame of the present stream."""
+        """Process a frame; those of earlier streams are dropped."""
         if frame.stream != self._stream:
             return
         if self._reattach is not None:
             self._reattach = None
             self._stop_timer()
-        self._act(self._state.frame_received(self._stream_number, frame))
+        self._run_actions(self._state.frame_received(self._attempt_number, frame))
 
-    def lose_link(self) -> None:
-        """Go on after the link of the present attempt was lost."""
-        self._act(self._state.link_lost())
+    def note_link_lost(self) -> None:
+        """Handle the loss of the current attempt's link."""
+        self._run_actions(self._state.link_lost())
 
-    def find_link(self) -> None:
-        """Ask for the rest of the answer, now that a link is open again."""
+    def note_link_opened(self) -> None:
+        """Request the rest of the answer when a link is open again."""
         if self._reattach is not None:
             self._send_reattach(self._reattach)
 
-    def lose_agent(self) -> None:
-        """Go on after the agent's process was found to be gone."""
+    def note_agent_gone(self) -> None:
+        """Stop waiting for a link to the agent, whose process has ended."""
         if self._reattach is not None:
             self._fail_reattach()
 
-    def leave(self) -> None:
-        """Note that the caller is gone."""
-        self._act(self._state.caller_left())
+    def note_caller_left(self) -> None:
+        """Handle the disconnection of the caller."""
+        self._run_actions(self._state.caller_left())
 
     def note_taken(self, size: int) -> None:
-        """Note that the caller has taken `size` bytes; lets more be sent."""
-        self._taken += size
-        if self._taken >= CREDIT_STEP and self._state.phase is not Phase.ENDED:
-            self._dispatch.send(self._state.upstream, Credit(self._stream, self._taken))
-            self._taken = 0
-
-    def _act(self, actions: list[Action]) -> None:
+        """Count `size` bytes the caller has taken, and grant the agent credit."""
+        self._uncredited += size
+        if self._uncredited >= CREDIT_STEP and self._state.phase is not Phase.ENDED:
+            self._dispatch.send(
+                self._state.upstream, Credit(self._stream, self._uncredited)
+            )
+            self._uncredited = 0
+
+    def _run_actions(self, actions: list[Action]) -> None:
         for action in actions:
-            self._take_action(action)
+            self._run_action(action)
 
-    def _take_action(self, action: Action) -> None:
+    def _run_action(self, action: Action) -> None:
         match action:
             case DeliverData():
                 self._deliver(action.data)
@@ -227,22 +229,24 @@
     def _choose(self, avoid: frozenset[str]) -> None:
         chosen = self._dispatch.choose(self._call, avoid)
         if isinstance(chosen, Refusal):
-            self._act(self._state.upstream_missing(chosen))
+            self._run_actions(self._state.upstream_missing(chosen))
         else:
-            self._act(self._state.upstream_chosen(chosen.name, chosen.incarnation))
+            self._run_actions(
+                self._state.upstream_chosen(chosen.name, chosen.incarnation)
+            )
 
     def _send(self, action: SendAttempt) -> None:
         self._end_stream()
         self._stream = self._dispatch.reserve(self)
-        self._stream_number = action.number
+        self._attempt_number = action.number
         body = self._make_body(action)
         if body is None:
             self._state.resume_impossible()
-            self._act(self._state.resume_refused())
+            self._run_actions(self._state.resume_refused())
             return
         attempt = self._make_attempt(action, body)
         if not self._dispatch.send(action.upstream, attempt):
-            self._act(self._state.send_failed())
+            self._run_actions(self._state.send_failed())
             return
         self._dispatch.record("attempt.sent", self, upstream=action.upstream)
 
@@ -255,8 +259,8 @@
         call = self._call
         work = call.work
         now = self._dispatch.now()
-        # What was begun is worth going on with, also after the first token's time.
-        late = work.finish_by if action.resume else work.start_by
+        # A stream that has begun is worth resuming also after the first-token deadline.
+        start_deadline = work.finish_by if action.resume else work.start_by
         return Attempt(
             stream=self._stream,
             request=work.request,
@@ -273,7 +277,7 @@
             output_tokens=work.output_tokens,
             share=work.share,
             priority=work.priority,
-            start_within=late - now,
+            start_within=start_deadline - now,
             finish_within=work.finish_by - now,
             prefix=work.prefix,
             fingerprint=work.fingerprint,
@@ -314,7 +318,7 @@
     def _fail_reattach(self) -> None:
         self._reattach = None
         self._stop_timer()
-        self._act(self._state.reattach_failed())
+        self._run_actions(self._state.reattach_failed())
 
     def _wait(self, delay: timedelta) -> None:
         self._stop_timer()
@@ -323,11 +327,11 @@
 
     def _end_wait(self) -> None:
         self._timer = None
-        self._act(self._state.back_off_ended())
+        self._run_actions(self._state.back_off_ended())
 
-    def _pass_deadline(self) -> None:
+    def _on_deadline(self) -> None:
         self._deadline = None
-        self._act(self._state.deadline_passed())
+        self._run_actions(self._state.deadline_passed())
 
     def _finish(self, end: Finish) -> None:
         self._stop_timer()
@@ -336,7 +340,7 @@
         self._end_stream()
         self._dispatch.record("request.ended", self, outcome=end.outcome.value)
         self._sink.finish(end)
-        self._ended(self)
+        self._on_ended(self)
 
     def _end_stream(self) -> None:
         if self._stream:
--- a/packages/mustardquay-node/src/mustardquay_node/nodes.py
+++ b/packages/mustardquay-node/src/mustardquay_node/nodes.py
@@ -1,4 +1,4 @@
-"""Nodes: what entries and agents have in common: platform, configuration, links."""
+"""Nodes: common base of entries and agents: platform, configuration and links."""
 
 from collections.abc import Callable, Mapping
 from datetime import timedelta
@@ -17,7 +17,7 @@
 )
 from mustardquay.quarantines import Quarantine
 
-from .configurations import ConfigurationKeeper, configuration_changed
+from .configurations import ConfigurationReplica, configuration_changed
 from .links import Identity, Link, LinkOptions
 from .metrics import NodeMetrics
 from .node_settings import Settings
@@ -27,15 +27,15 @@
 
 __all__ = [
     "Node",
-    "NodeParts",
+    "NodeDependencies",
     "Platform",
-    "connect_configuration",
-    "spread_configuration",
+    "subscribe_to_configuration",
+    "exchange_configuration",
 ]
 
 ENTRY_PROBE_WAIT = timedelta(seconds=2)
-"""Longest wait of an entry between probes of a service of the platform that is
-down: 540 entries then send it at most some 400 probes a second."""
+"""Maximum interval between an entry's probes of a platform service that is down; 540
+entries then send at most some 400 probes a second."""
 
 
 class Platform:
@@ -44,9 +44,9 @@
     def __init__(self, settings: Settings, clock: Clock, random: Random):
         platform = settings.platform
 
-        # Calls that may run once wait for an entry's probe after an outage, for no
-        # longer than their callers tolerate. There are few entries, so that they
-        # may probe often; the many agents keep to the longer waits.
+        # After an outage, calls that may run only once wait until an entry's probe
+        # succeeds, and that must not take longer than their callers tolerate. There are
+        # few entries, so they may probe often. The many agents use longer intervals.
         is_entry = settings.node.kind == "entry"
         waits = {"longest_wait": ENTRY_PROBE_WAIT} if is_entry else {}
 
@@ -64,18 +64,18 @@
         self.instances = HttpInstances(self._clients[2])
 
     async def start(self) -> None:
-        """Make the HTTP clients."""
+        """Create the HTTP clients."""
         for client in self._clients:
             await client.start()
 
     async def close(self) -> None:
-        """Abandon the calls under way."""
+        """Abort the calls in progress."""
         for client in self._clients:
             await client.close()
 
 
-class NodeParts:
-    """The parts that each process has, whatever its kind."""
+class NodeDependencies:
+    """The objects that every process has, whatever its kind."""
 
     def __init__(
         self,
@@ -88,8 +88,8 @@
         self.settings = settings
         self.clock = clock or SystemClock()
         self.random = Random(make_seed() if seed is None else seed)
-        # Later processes of the same name have higher numbers, as long as the wall
-        # clock is not set back by more than the time they take to start.
+        # Later processes with the same name get higher numbers, unless the wall clock
+        # is set back by more than a process takes to start.
         started = self.clock.now().timestamp()
         self.incarnation = int(started * 1_000_000)
         self.identity = Identity(node.name, self.incarnation, node.availability_zone)
@@ -108,7 +108,7 @@
 
 
 class Node:
-    """What an entry and an agent have in common: a name, a version, readiness."""
+    """Base class of entries and agents: name, configuration version and readiness."""
 
     def __init__(
         self,
@@ -118,86 +118,86 @@
         write_event: Callable[[Event], None] | None,
         is_reader: Callable[[], bool],
     ):
-        """Take the settings; `is_reader` says whether it polls the log's head."""
-        parts = NodeParts(settings, clock, seed, write_event)
-        self._parts = parts
-        self._keeper = ConfigurationKeeper(
-            parts.platform.tables, parts.platform.objects, parts.random, is_reader
+        """Set up the process; `is_reader` returns whether it polls the head row."""
+        deps = NodeDependencies(settings, clock, seed, write_event)
+        self._deps = deps
+        self._replica = ConfigurationReplica(
+            deps.platform.tables, deps.platform.objects, deps.random, is_reader
         )
 
     @property
     def name(self) -> str:
         """Return the name of the process."""
-        return self._parts.identity.process
+        return self._deps.identity.process
 
     @property
     def availability_zone(self) -> str:
         """Return the availability zone of the process."""
-        return self._parts.identity.availability_zone
+        return self._deps.identity.availability_zone
 
     @property
     def version(self) -> int:
-        """Return the configuration version in force here."""
-        return self._keeper.version
+        """Return the configuration version in force in this process."""
+        return self._replica.version
 
     @property
     def events(self) -> EventRing:
-        """Return the ring of this process's events."""
-        return self._parts.events
+        """Return the ring buffer of this process's events."""
+        return self._deps.events
 
     @property
     def is_ready(self) -> bool:
-        """Return whether new work may be sent here."""
+        """Return whether this process may get new work."""
         return not self.list_faults()
 
     def list_faults(self) -> tuple[str, ...]:
-        """Return why the process takes no new work, one sentence each."""
+        """Return the reasons why this process is not ready, one sentence each."""
         raise NotImplementedError
 
     def _watch(self, gauges: Mapping[str, Callable[[], float]]) -> None:
-        """Export gauges by the last part of their names, with those of every node."""
+        """Export gauges, named without their prefix, and those common to all nodes."""
         common = {
-            "configuration.version": lambda: self._keeper.version,
+            "configuration.version": lambda: self._replica.version,
             "ready": lambda: float(self.is_ready),
         }
         for name, read in (common | dict(gauges)).items():
-            self._parts.metrics.watch(f"mustardquay.{name}", read)
+            self._deps.metrics.watch(f"mustardquay.{name}", read)
 
     def _probe_readiness(self) -> Probe:
         faults = self.list_faults()
         return Probe(not faults, faults)
 
 
-def spread_configuration(keeper: ConfigurationKeeper, link: Link, message: Message):
-    """Take in and pass on the configuration log over a link.
+def exchange_configuration(replica: ConfigurationReplica, link: Link, message: Message):
+    """Exchange configuration log entries over a link.
 
-    A heartbeat with a higher version leads to a question for what is missing, and
-    an answer that closes only a part of the gap to the next question.
+    A heartbeat with a higher version triggers a request for the missing entries. If
+    the answer contains only part of them, the next part is requested.
     """
     if isinstance(message, Heartbeat):
-        keeper.hear(link.peer.process, message.version, message.confirmed)
-        if message.version > keeper.version:
-            link.send(ConfigurationWanted(keeper.version))
+        replica.note_peer_version(link.peer.process, message.version, message.confirmed)
+        if message.version > replica.version:
+            link.send(ConfigurationWanted(replica.version))
     elif isinstance(message, ConfigurationWanted):
-        link.send(ConfigurationEntries(tuple(keeper.list_items(message.after))))
+        link.send(ConfigurationEntries(tuple(replica.list_items(message.after))))
     elif isinstance(message, ConfigurationEntries):
-        before = keeper.version
+        before = replica.version
         try:
-            keeper.offer_items(message.entries)
+            replica.add_items(message.entries)
         except ProtocolError as error:
             link.close(str(error))
             return
-        if before < keeper.version and keeper.wanted_after is not None:
-            link.send(ConfigurationWanted(keeper.version))
+        if before < replica.version and replica.missing_after is not None:
+            link.send(ConfigurationWanted(replica.version))
 
 
-def connect_configuration(
-    keeper: ConfigurationKeeper, changed: Callable[[], None]
+def subscribe_to_configuration(
+    replica: ConfigurationReplica, changed: Callable[[], None]
 ) -> Callable[[], None]:
-    """Call back on each new version; returns what ends that."""
+    """Call `changed` on each new version; return a function that unsubscribes."""
 
-    def receive(sender: ConfigurationKeeper, **details: object) -> None:
+    def receive(sender: ConfigurationReplica, **details: object) -> None:
         changed()
 
-    configuration_changed.connect(receive, sender=keeper)
-    return lambda: configuration_changed.disconnect(receive, sender=keeper)
+    configuration_changed.connect(receive, sender=replica)
+    return lambda: configuration_changed.disconnect(receive, sender=replica)
--- a/packages/mustardquay-node/src/mustardquay_node/views.py
+++ b/packages/mustardquay-node/src/mustardquay_node/upstream_views.py
@@ -1,4 +1,4 @@
-"""Views: what an entry makes of the heartbeats of an agent."""
+"""Updates an entry's view of an upstream from the heartbeats of its agent."""
 
 from datetime import timedelta
 
@@ -6,13 +6,13 @@
 from mustardquay.predictions import RateEstimator
 from mustardquay.works import UpstreamView, Work
 
-__all__ = ["take_back", "update_view"]
+__all__ = ["subtract_refused", "update_view"]
 
 
 def update_view(
     view: UpstreamView, heartbeat: Heartbeat, rates: RateEstimator, now: timedelta
 ) -> None:
-    """Take in a heartbeat; `rates` learns from it and gives what it has learned."""
+    """Apply a heartbeat; its rates are smoothed by `rates`, which learns from them."""
     view.reachable = True
     view.draining = heartbeat.draining
     view.ready = heartbeat.ready
@@ -31,7 +31,7 @@
     view.slowness = rates.slowness(view.name)
 
 
-def take_back(view: UpstreamView | None, work: Work) -> None:
-    """Count the prompt of refused work no longer as queued at its upstream."""
+def subtract_refused(view: UpstreamView | None, work: Work) -> None:
+    """Stop counting the prompt of refused work as queued at its upstream."""
     if view is not None:
         view.own_tokens = max(view.own_tokens - work.prompt_tokens, 0)
