--- a/packages/mustardquay-node/src/mustardquay_node/__init__.py
+++ b/packages/mustardquay-node/src/mustardquay_node/__init__.py
@@ -1,1 +1,1 @@
-"""The mustardquayd process: the I/O around the decisions."""
+"""The mustardquayd daemon: I/O around the decision logic of `mustardquay`."""
--- a/packages/mustardquay-node/src/mustardquay_node/adapters.py
+++ b/packages/mustardquay-node/src/mustardquay_node/adapters.py
@@ -1,7 +1,7 @@
-"""Adapters: what a platform must give, in the product's own types.
+"""The interface of adapters, which translate between a platform and this project.
 
-An adapter is a Python package that the settings name. It holds the platform's names,
-formats and calls and decides nothing.
+An adapter is a Python package named in the settings. It contains the platform's names,
+formats and calls, and makes no decisions.
 """
 
 import importlib
@@ -40,56 +40,56 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestFacts:
-    """What the platform's headers say of a caller's request."""
+    """Properties of a caller's request, as read from its headers."""
 
     id: str
     time_allowed: timedelta | None
-    """How long the caller waits; None when it does not say."""
+    """How long the caller waits; None if the headers don't specify it."""
     prompt: PromptTraits | None
     resumes_after: str | None
-    """The last event that the caller has of a stream that broke."""
+    """Id of the last event that the caller received of an interrupted stream."""
 
 
 @dataclass(frozen=True, slots=True)
 class SendTarget:
-    """What a send tells the upstream beside the caller's request."""
+    """What a send adds to the caller's request for the upstream."""
 
     upstream_id: str
     time_left: timedelta
     prefill_only: bool = False
     kv_source: str = ""
-    """Where the upstream fetches the prefilled prompt, as `Prefilled` has it."""
+    """Where the upstream fetches a prefilled prompt; see `Adapter.build_kv_source`."""
     fetch_from: str = ""
     """Address of an engine from which cached parts of the prompt are copied first."""
     resumes_after: str | None = None
     urgency: int | None = None
-    """0 goes first, 9 last."""
+    """From 0, which is served first, to 9."""
 
 
 @dataclass(frozen=True, slots=True)
 class AnswerFacts:
-    """What the platform's headers say of an upstream's answer."""
+    """Properties of an upstream's answer, as read from its headers."""
 
     request_id: str
     not_run: bool
-    """The upstream affirms that it did not run the request and won't."""
+    """The upstream confirms that it did not and will not run the request."""
     is_other_upstream: bool
-    """Another upstream has the address by now; it did not run the request."""
+    """The address now belongs to another upstream, which did not run the request."""
     is_signed: bool
-    """The answer bears the mark of an upstream's own work."""
+    """The answer has the header by which upstreams mark answers as their own."""
     is_encoded: bool
-    """The body was changed on its way, since nobody asks for an encoding."""
+    """The body was encoded in transit, since requests never ask for an encoding."""
     retry_after: timedelta | None
     load: tuple[int, int, int] | None
-    """Requests that run and that wait, and slots, at the time of the answer."""
+    """Running requests, queued requests and slots at the time of the answer."""
     rate_limit: float | None
-    """Requests a second that the upstream takes from all gateways together; None for
-    as many as come."""
+    """Requests a second that the upstream accepts from all gateways together; None for
+    no limit."""
 
 
 @dataclass(frozen=True, slots=True)
 class Prefilled:
-    """A prompt that an engine has read and keeps for another to fetch."""
+    """A prompt that an engine has prefilled and keeps for another to fetch."""
 
     handle: str
     tokens: int
@@ -98,20 +98,20 @@
 
 @dataclass(frozen=True, slots=True)
 class EngineReport:
-    """What an engine says of itself; some hundred milliseconds old."""
+    """The state that an engine reports; some hundred milliseconds old."""
 
     stage: Stage
     is_switching: bool
-    """Whether it carries out an order."""
+    """Whether the engine is carrying out an order to change its stage."""
     orders_accepted: int
-    """Since its start; an order may name the number that it expects."""
+    """Orders accepted since the start; an order may state the number it expects."""
     waiting: int
     running: int
     kv_used: int
-    """Tokens of memory that can't be given up."""
+    """Tokens of cache memory in use that can't be evicted."""
     kv_total: int
     started_ms: int
-    """Start of this incarnation in Unix milliseconds; 0 when it is not told."""
+    """Start of this incarnation in Unix milliseconds; 0 if not reported."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -121,51 +121,51 @@
     key: str
     value: bytes
     version: int
-    """Rises with each write, over all rows, within an era of the store."""
+    """Increases with each write to any row, within an era of the store."""
     deleted: bool = False
 
 
 @dataclass(frozen=True, slots=True)
 class FeedPage:
-    """Rows that were read together."""
+    """Rows that were returned by one read."""
 
     rows: Sequence[StoreRow]
     position: StorePosition
-    """From where the next read goes on."""
+    """Where the next read continues."""
 
 
 def _ignore_bytes(count: int) -> None:
-    """Take no note of how a read gets on."""
+    """Ignore the progress of a read."""
 
 
 @dataclass(frozen=True, slots=True)
 class ReadOptions:
-    """How rows are read."""
+    """Options of a read."""
 
     wait: timedelta = timedelta()
-    """How long the store may hold a read that has nothing to tell."""
+    """How long the store may hold a read while there are no changes (long polling)."""
     on_new_connection: bool = False
-    """Guards against kept connections that went silent."""
+    """Bypasses pooled connections, which may no longer respond."""
     note_bytes: Callable[[int], None] = _ignore_bytes
-    """Hears of each part of the answer as it comes, by its bytes."""
+    """Called with the number of bytes of each part of the answer as it arrives."""
 
 
 class HistoryLost(Exception):
-    """The store no longer knows the changes since a version; read all rows."""
+    """The store no longer has the changes since a version; read all rows instead."""
 
 
 class StoreTables(TableService, Protocol):
-    """The platform's store: a table service whose tables can be followed."""
+    """The platform's store: a table service that also reports changes of tables."""
 
     @property
     def era(self) -> int:
-        """Return the newest era that the store has told, 0 where it tells none."""
+        """Return the newest era that the store has reported, 0 if it reports none."""
 
     async def list_rows(self, table: str, options: ReadOptions) -> FeedPage:
-        """Return all rows of a table, as of one moment for each page."""
+        """Return all rows of a table; each page is a consistent snapshot."""
 
     async def follow(self, table: str, after: int, options: ReadOptions) -> FeedPage:
-        """Return the changes since a version, once there is one; may be empty.
+        """Return the changes since a version, once there are any; may be empty.
 
         Raises `HistoryLost`.
         """
@@ -175,7 +175,7 @@
 
 
 class Adapter(Protocol):
-    """The module that a package of an adapter offers under this interface."""
+    """The interface that the module of an adapter provides."""
 
     CONFIGURATION_TABLE: str
     CONFIGURATION_KEY: str
@@ -186,7 +186,7 @@
     CACHE_PATH: str
 
     def open_store(self, address: str, clock: Any, eras: EraWatch) -> StoreTables:
-        """Return a client of the store, which tells the era of each answer."""
+        """Return a client of the store that passes the era of each answer to `eras`."""
 
     def read_configuration(self, value: bytes) -> RoutingTable:
         """Return the operator's configuration; raises `ProtocolError`."""
@@ -195,28 +195,28 @@
         """Return an upstream's record; raises `ProtocolError`."""
 
     def read_request(self, headers: HTTPHeaders) -> RequestFacts:
-        """Return what a caller's headers say; raises `ProtocolError`."""
+        """Return what a caller's headers specify; raises `ProtocolError`."""
 
     def read_answer(self, head: AnswerHead) -> AnswerFacts:
-        """Return what an upstream's headers say."""
+        """Return what the headers of an upstream's answer specify."""
 
     def build_headers(self, headers: HTTPHeaders, target: SendTarget) -> HTTPHeaders:
-        """Return the headers of a send: the caller's, and what the target needs."""
+        """Return the headers of a send: the caller's and those for the target."""
 
     def read_prefilled(self, body: bytes) -> Prefilled:
-        """Return what a prefill gave; raises `ProtocolError`."""
+        """Return the result of a prefill; raises `ProtocolError`."""
 
     def read_report(self, body: bytes) -> EngineReport:
-        """Return what an engine says of itself; raises `ProtocolError`."""
+        """Return the state that an engine reports; raises `ProtocolError`."""
 
     def read_cache(self, body: bytes) -> tuple[PromptPart, ...]:
-        """Return the parts that an engine holds; raises `ProtocolError`."""
+        """Return the parts that an engine has cached; raises `ProtocolError`."""
 
     def build_kv_source(self, address: str, prefilled: Prefilled) -> str:
         """Return where an upstream fetches a prefilled prompt."""
 
     def build_handle_path(self, handle: str) -> str:
-        """Return the path under which a prefilled prompt is given up."""
+        """Return the path at which a prefilled prompt is released."""
 
     def build_order(self, stage: Stage, holder: str, fence: int, after: int) -> bytes:
         """Return the body of an order that changes an engine's stage."""
@@ -232,5 +232,5 @@
     except ImportError as error:
         raise SettingsError(
             f"[platform] adapter: {name} can't be imported ({error}); install the "
-            "package or mend the name."
+            "package or correct the name."
         ) from None
--- a/packages/mustardquay-node/src/mustardquay_node/cache_surveys.py
+++ b/packages/mustardquay-node/src/mustardquay_node/cache_surveys.py
@@ -1,7 +1,7 @@
-"""Cache surveys: what engines hold already when a gateway meets them.
+"""Queries for the prompt parts that engines have cached when a gateway starts.
 
-Answers gateways that start among engines that went on running: they know of no cached
-part, so that each shared prompt is read once more, at another engine than before.
+Without them, a gateway that starts while engines keep running has no record of cached
+parts, so each shared prompt would be prefilled once more, on a different engine.
 """
 
 import asyncio
@@ -21,26 +21,26 @@
 __all__ = ["CacheSurvey", "CacheSurveyParts"]
 
 LOOK_INTERVAL = timedelta(milliseconds=200)
-"""Time between two looks for engines that have not been asked."""
+"""Interval of checks for engines that have not been queried."""
 MOST_ENGINES = 64
-"""Engines that one process asks: each call holds up an engine's work a little, and in a
-large fleet every gateway would ask every engine."""
+"""Engines that one process queries at most: each call delays an engine's work a little,
+and in a large fleet every gateway would query every engine."""
 
 
 @dataclass(frozen=True, slots=True)
 class CacheSurveyParts:
-    """What a survey needs of its process."""
+    """Dependencies of a `CacheSurvey`."""
 
     adapter: Adapter
     events: EventRing
     list_upstreams: Callable[[], Sequence[UpstreamRecord]]
     call: CallEngine
     take_held: Callable[[UpstreamRecord, Sequence[PromptPart]], None]
-    """Takes in the parts that an engine holds."""
+    """Records the parts that an engine has cached."""
 
 
 class CacheSurvey:
-    """Asks each engine once, when it is first listed."""
+    """Queries the cache of each engine once, when it is first listed."""
 
     def __init__(self, parts: CacheSurveyParts):
         self._parts = parts
@@ -48,11 +48,11 @@
         self._task: asyncio.Task[None] | None = None
 
     def start(self) -> None:
-        """Begin to look for engines."""
+        """Start to check for new engines."""
         self._task = start_loop(self._look, LOOK_INTERVAL)
 
     async def close(self) -> None:
-        """Stop."""
+        """Stop and wait for the task to end."""
         if self._task is not None:
             self._task.cancel()
             await asyncio.gather(self._task, return_exceptions=True)
--- a/packages/mustardquay-node/src/mustardquay_node/command_lines.py
+++ b/packages/mustardquay-node/src/mustardquay_node/command_lines.py
@@ -1,4 +1,4 @@
-"""Command lines: arguments and help of the binary `mustardquayd`."""
+"""Command line interface of `mustardquayd`: arguments, options and help."""
 
 from pathlib import Path
 from typing import Annotated
@@ -23,7 +23,7 @@
 @application.command()
 def run(
     settings: Annotated[
-        list[Path], typer.Argument(help="INI files; later ones go over earlier ones.")
+        list[Path], typer.Argument(help="INI files; later ones override earlier ones.")
     ],
     version: Annotated[
         bool,
--- a/packages/mustardquay-node/src/mustardquay_node/configuration_intakes.py
+++ b/packages/mustardquay-node/src/mustardquay_node/configuration_intakes.py
@@ -1,4 +1,4 @@
-"""Configuration intakes: the operator's configuration, from the store into force."""
+"""Loading of the operator's configuration from rows of the store."""
 
 from collections.abc import Callable, Sequence
 from datetime import timedelta
@@ -16,7 +16,7 @@
 
 
 class ConfigurationIntake:
-    """Puts each newer configuration in force; a version never goes back."""
+    """Activates each newer configuration; the active version never decreases."""
 
     def __init__(
         self,
@@ -27,10 +27,11 @@
         list_others: Callable[[], Sequence[int]],
         get_bound: Callable[[], timedelta],
     ):
-        """Take `put`, which puts a configuration in force.
+        """Initialise the loader without a configuration.
 
-        `list_others` returns the versions of the other gateways, `get_bound` the time
-        in which a version has to be in force everywhere.
+        `put` activates a configuration. `list_others` returns the versions that are
+        active on the other gateways. `get_bound` returns the time within which a
+        version has to be active everywhere.
         """
         self._adapter = adapter
         self._events = events
@@ -42,21 +43,21 @@
 
     @property
     def version(self) -> int:
-        """Return the version in force, 0 before the first."""
+        """Return the active version, 0 before the first."""
         return self._versions.in_force
 
     @property
     def known_version(self) -> int:
-        """Return the newest version that is known to exist."""
+        """Return the newest version known to exist, active here or not."""
         return self._versions.known
 
     @property
     def lag(self) -> timedelta:
-        """Return for how long a version that isn't in force here is known."""
+        """Return for how long a version newer than the active one has been known."""
         return self._versions.measure_lag(self._clock.monotonic())
 
     def judge(self) -> TableState:
-        """Return what may be concluded from the configuration in force."""
+        """Return how far the active configuration may be relied on."""
         if not self._versions.is_behind:
             return TableState.CURRENT
         others = self._list_others()
@@ -64,7 +65,7 @@
         return self._versions.judge(others, self._get_bound(), now)
 
     def hear(self, gateway: str, version: int) -> bool:
-        """Take in the version of another gateway; returns whether it is newer."""
+        """Note the version of another gateway and return whether it is newer."""
         if self._versions.hear(version, self._clock.monotonic()):
             self._events.record(
                 "configuration.behind",
@@ -75,10 +76,10 @@
         return version > self.version
 
     def take(self, rows: Sequence[StoreRow], is_whole: bool) -> None:
-        """Take in rows: all there are, or those that have changed.
+        """Apply rows of the store: with `is_whole` all of them, else changed ones.
 
-        Of several versions only the newest is decoded that can be: a large one takes a
-        busy process some 100 ms.
+        Of several versions, only the newest one that can be decoded is activated, and
+        older ones are not decoded: a large one takes a busy process some 100 ms.
         """
         for row in sorted(rows, key=attrgetter("version"), reverse=True):
             if row.key != self._adapter.CONFIGURATION_KEY or row.deleted:
@@ -87,7 +88,7 @@
                 return
 
     def _read(self, row: StoreRow) -> bool:
-        """Take in one row; returns whether it could be decoded."""
+        """Decode and offer one row; return whether it could be decoded."""
         begun = self._clock.monotonic()
         try:
             table = self._adapter.read_configuration(row.value)
--- a/packages/mustardquay-node/src/mustardquay_node/crash_reporters.py
+++ b/packages/mustardquay-node/src/mustardquay_node/crash_reporters.py
@@ -1,9 +1,9 @@
-"""Crash reporters: requests that crash upstreams, known to all gateways.
+"""Detection of requests that crash upstreams, shared by all gateways.
 
 Guards against a request that crashes each upstream that runs it while its caller
-sends it again: it shows as upstreams that fail one after the other. Each gateway
-accuses what it had in flight, the digests between gateways merge the accusations, and
-after the third crash all of them refuse the request.
+retries it, so that upstreams fail one after the other. Each gateway suspects the
+requests it had in flight at a crash, gateways merge their suspicions through digests,
+and after the third crash all of them refuse the request.
 """
 
 from collections import deque
@@ -21,19 +21,19 @@
 __all__ = ["CrashReporter"]
 
 CRASHES = 3
-"""Crashes of different upstreams or starts after which a request is refused. Two may
-meet an innocent one by chance, as several requests are in flight in each crash."""
+"""Crashes, each of a different upstream or start of one, after which a request is
+refused. Two can involve an unrelated request by chance, as several requests are in
+flight at each crash."""
 SUSPICION = timedelta(minutes=2)
 REFUSAL = timedelta(minutes=5)
 NEWS_TIME = timedelta(seconds=1)
-"""How long a change is told in each digest: some 25 of them, of which a few may be
-lost."""
+"""How long digests repeat a change: some 25 of them, of which a few may be lost."""
 RECORDS_LIMIT = 4
-"""Records in one digest, for its size."""
+"""Records in one digest at most, to bound its size."""
 
 
 class CrashReporter:
-    """What one gateway knows of requests that crash upstreams."""
+    """Tracks requests that crash upstreams, as seen by one gateway and its peers."""
 
     def __init__(self, clock: Clock, events: EventRing):
         self._clock = clock
@@ -45,13 +45,13 @@
 
     @staticmethod
     def take_fingerprint(method: str, path: str, body: bytes) -> int:
-        """Return what a request is known by when it comes again."""
+        """Return a hash that identifies a request when it is sent again."""
         return xxh3_64_intdigest(
             body, seed=xxh3_64_intdigest(f"{method} {path}".encode())
         )
 
     def is_refused(self, fingerprint: int) -> bool:
-        """Return whether a request has crashed too many upstreams."""
+        """Return whether a request is quarantined for its number of crashes."""
         now = self._clock.monotonic()
         return self._quarantine.judge(fingerprint, now) is Standing.REFUSED
 
@@ -66,7 +66,7 @@
         self._quarantine.note_answer(fingerprint, self._clock.monotonic())
 
     def note_lost(self, upstream: str) -> None:
-        """Note that an upstream is out of reach, gone or started anew."""
+        """Note that an upstream is unreachable, removed or restarted."""
         now = self._clock.monotonic()
         accused = self._watch.note_lost(upstream, now)
         if accused is None:
@@ -78,7 +78,7 @@
         )
 
     def list_news(self) -> tuple[CrashRecord, ...]:
-        """Return the records that the other gateways are told now."""
+        """Return the changed records for the next digest."""
         now = self._clock.monotonic()
         while len(self._told) > 1 and now - self._told[1][0] > NEWS_TIME:
             self._told.popleft()
@@ -90,6 +90,6 @@
         return records
 
     def merge(self, records: Sequence[CrashRecord]) -> None:
-        """Take in what another gateway tells."""
+        """Merge the records of another gateway's digest."""
         if records and self._quarantine.merge(records, self._clock.monotonic()):
             self._events.record("quarantine.merged", records=len(records))
--- a/packages/mustardquay-node/src/mustardquay_node/digest_frames.py
+++ b/packages/mustardquay-node/src/mustardquay_node/digest_frames.py
@@ -1,4 +1,4 @@
-"""Digest frames: the datagrams in which gateways tell each other their digests."""
+"""Encoding of the digests that gateways exchange as Cap'n Proto datagrams."""
 
 from collections.abc import Sequence
 from datetime import timedelta
@@ -26,14 +26,14 @@
 WIRE = capnp.load(str(Path(__file__).with_name("peers.capnp")))
 
 LAYOUT = 2
-"""Number of the layout of a datagram; programs of other layouts don't hear each other
-while one replaces the other."""
+"""Version of the datagram layout. During an upgrade, gateways with different layouts
+ignore each other's digests."""
 MOST_MICROSECONDS = 2**32 - 1
 MOST_RUNNING = 2**16 - 1
 
 
 def encode_digest(digest: PeerDigest) -> bytes:
-    """Return a datagram."""
+    """Return the datagram of a digest."""
     message = WIRE.Digest.new_message()
     message.layout = LAYOUT
     message.gateway = digest.gateway
@@ -51,7 +51,7 @@
 
 
 def decode_digest(data: bytes) -> PeerDigest | None:
-    """Return the digest of a datagram, or None if it can't be read."""
+    """Return the digest of a datagram, or None if it can't be decoded."""
     try:
         message = WIRE.Digest.from_bytes_packed(data)
         if message.layout != LAYOUT:
@@ -103,7 +103,9 @@
 def _read_work(message: Any) -> tuple[EngineDigest, ...]:
     ranks = list(message.ranks)
     if ranks and ranks[-1] > LOWEST_RANK:
-        raise ValueError("The ranks are those of another version; upgrade it.")
+        raise ValueError(
+            "Unsupported ranks: the sender runs another version; upgrade it."
+        )
     width = ranks[-1] + 1 if ranks else 0
     values = iter(list(message.readMicroseconds))
     engines = []
@@ -165,7 +167,9 @@
 def _read_speeds(built: Any) -> PoolSpeeds:
     read, first = tuple(built.read), tuple(built.first)
     if len(read) != len(READ_SCALES) or len(first) != len(STREAM_SCALES):
-        raise ValueError("The speeds are those of another version; upgrade it.")
+        raise ValueError(
+            "Unsupported speeds: the sender runs another version; upgrade it."
+        )
     return PoolSpeeds(built.service, built.samples, read, first)
 
 
--- a/packages/mustardquay-node/src/mustardquay_node/digests.py
+++ b/packages/mustardquay-node/src/mustardquay_node/digests.py
@@ -1,4 +1,4 @@
-"""Digests: what one gateway says of itself to the others, and takes in from them."""
+"""Exchange of digests: state that each gateway shares with the others."""
 
 from collections.abc import Callable, Collection
 from dataclasses import dataclass, replace
@@ -17,7 +17,7 @@
 
 @dataclass(frozen=True, slots=True)
 class DigestParts:
-    """Whose state digests tell, and who learns from those of others."""
+    """Components whose state digests carry, and which apply received digests."""
 
     name: str
     availability_zone: str
@@ -29,11 +29,11 @@
     configurations: ConfigurationIntake
     is_ready: Callable[[], bool]
     fetch_configuration: Callable[[], None]
-    """Has the configuration read, as a newer one is known to exist."""
+    """Starts a read of the configuration, as a newer one is known to exist."""
 
 
 class DigestBook:
-    """Makes the digests of one gateway, in order, and takes in those of others."""
+    """Builds the numbered digests of one gateway and applies those of others."""
 
     def __init__(self, parts: DigestParts):
         self._parts = parts
@@ -42,11 +42,11 @@
 
     @property
     def incarnation(self) -> int:
-        """Return the number of this start of the process; later ones are higher."""
+        """Return the incarnation of this process; it rises with each restart."""
         return self._incarnation
 
     def build(self) -> PeerDigest:
-        """Return what the others are told next."""
+        """Return the next digest for the other gateways."""
         parts = self._parts
         now = parts.clock.monotonic()
         self._number += 1
@@ -65,10 +65,10 @@
         )
 
     def hear(self, digest: PeerDigest) -> None:
-        """Take in a digest; a newer configuration elsewhere is fetched at once.
+        """Apply a received digest; fetch the configuration if the sender's is newer.
 
-        Guards against a connection to the store that went silent: the configuration
-        would be read only when the call on it has timed out.
+        Guards against a connection to the store that stopped responding: otherwise the
+        configuration would be read only after the call on it has timed out.
         """
         parts = self._parts
         parts.planner.hear(digest)
@@ -79,7 +79,7 @@
             parts.fetch_configuration()
 
     def note_listed(self, told: Collection[str], others: int) -> None:
-        """Take in which gateways tell this one, and how many there are besides."""
+        """Note the gateways that send digests here, and the number of the others."""
         now = self._parts.clock.monotonic()
         self._parts.limits.demand.list_gateways(told, others, now)
         self._parts.planner.note_listed(len(told), others)
--- a/packages/mustardquay-node/src/mustardquay_node/early_reloads.py
+++ b/packages/mustardquay-node/src/mustardquay_node/early_reloads.py
@@ -1,4 +1,4 @@
-"""Early reloads: calls to read the settings again that come while a process starts."""
+"""Handling of SIGHUP, the request to reload settings, while a process starts."""
 
 import signal
 
@@ -8,14 +8,14 @@
 
 
 def note_early_reloads() -> None:
-    """Note SIGHUP from now on, instead of being ended by it.
+    """Record SIGHUP from now on.
 
-    Guards against such a call while modules are loaded, which takes over half a
-    second: a signal that nobody has asked for ends the process.
+    Guards against a reload request during the imports, which take over half a second:
+    without a handler, the signal terminates the process.
     """
     signal.signal(signal.SIGHUP, lambda number, frame: _told.append(number))
 
 
 def was_told_early() -> bool:
-    """Return whether there was such a call."""
+    """Return whether a reload was requested during the start."""
     return bool(_told)
--- a/packages/mustardquay-node/src/mustardquay_node/era_watches.py
+++ b/packages/mustardquay-node/src/mustardquay_node/era_watches.py
@@ -1,4 +1,7 @@
-"""Era watches: notice on any answer that the store has come back from a copy."""
+"""Detection, from any of its answers, that the store was restored from a copy.
+
+The store starts a new era, a higher number, each time it is restored.
+"""
 
 from collections.abc import Callable
 
@@ -9,7 +12,7 @@
 
 
 class EraWatch:
-    """Tells its listeners at the first answer of a new era, whatever call it is of."""
+    """Calls its listeners on the first answer of a new era, to whichever call."""
 
     def __init__(self, events: EventRing):
         self._events = events
@@ -19,17 +22,17 @@
 
     @property
     def era(self) -> int:
-        """Return the newest era that the store has told, 0 before the first."""
+        """Return the newest era that the store has reported, 0 before the first."""
         return self._book.current or 0
 
     def listen(self, listener: Callable[[], None]) -> None:
-        """Have a function called at each new era."""
+        """Register a function to call at each new era."""
         self._listeners.append(listener)
 
     def take(self, era: int | None) -> bool:
-        """Take in the era of an answer; returns whether the answer still counts.
+        """Note the era of an answer; return False if the answer is of a past era.
 
-        None for an answer that tells none, as those of stores that know no eras.
+        `era` is None for an answer without one, as from stores that have no eras.
         """
         if era is None:
             return True
@@ -45,11 +48,11 @@
         return True
 
     def note_unreadable(self, text: str) -> None:
-        """Note an era that is no number; told once until it changes."""
+        """Report an era that is not a number, once until its text changes."""
         if text != self._unreadable:
             self._unreadable = text
             self._events.record(
                 "store.era_unreadable",
                 text=text[:80],
-                remedy="The platform must send a whole number; its returns go unseen.",
+                remedy="The platform must send a whole number; restores go undetected.",
             )
--- a/packages/mustardquay-node/src/mustardquay_node/gateway_feeds.py
+++ b/packages/mustardquay-node/src/mustardquay_node/gateway_feeds.py
@@ -1,4 +1,4 @@
-"""Gateway feeds: the tables of the platform's store that one gateway follows."""
+"""Feeds of the platform's store tables that a gateway follows."""
 
 from collections.abc import Callable, Sequence
 from dataclasses import dataclass
@@ -18,20 +18,22 @@
 __all__ = ["FeedParts", "GatewayFeeds"]
 
 CONFIGURATION_PACE = timedelta(milliseconds=20)
-"""Pause after each configuration: in a storm of them, several come in one read."""
+"""Pause after each read, so that one read returns several configurations when they
+change rapidly."""
 UPSTREAMS_PACE_SHARE = 0.25
-"""Part of the time in which an upstream that leaves must be known, between two reads:
-the list changes with each heartbeat, and each read is a call to the store."""
+"""Pause between reads, as a share of the time in which a leaving upstream must be
+noticed: the list changes with each heartbeat, and each read is a call to the store."""
 UPSTREAMS_WAIT_SHARE = 0.5
-"""The same of the time for which the store holds a read."""
+"""How long the store holds a read at most, as a share of the same time."""
 PEERS_WAIT = timedelta(seconds=20)
-"""The list of gateways seldom changes, and digests show at once who is silent."""
+"""Long, as the list of gateways seldom changes and missing digests reveal a gateway
+that stopped."""
 PEERS_PACE = timedelta(seconds=1)
 
 
 @dataclass(frozen=True, slots=True)
 class FeedParts:
-    """The store, and who takes in its rows."""
+    """The store, and the components that its rows are passed to."""
 
     adapter: Adapter
     store: StoreTables
@@ -45,7 +47,7 @@
 
 
 class GatewayFeeds:
-    """Follows the configuration, the list of upstreams and that of gateways."""
+    """Follows the tables of configurations, upstreams and gateways."""
 
     def __init__(self, parts: FeedParts):
         self._parts = parts
@@ -58,29 +60,29 @@
 
     @property
     def age(self) -> timedelta | None:
-        """Return the time since the store last answered; None before that."""
+        """Return the time since the store last answered, None before the first."""
         answers = [feed.answered_at for feed in self._feeds if feed.answered_at]
         if not answers:
             return None
         return self._parts.clock.monotonic() - max(answers)
 
     def start(self) -> None:
-        """Begin to follow."""
+        """Start to follow the tables."""
         for feed in self._feeds:
             feed.start()
 
     async def close(self) -> None:
-        """Stop to follow."""
+        """Stop following the tables."""
         for feed in self._feeds:
             await feed.close()
 
     def note_era(self) -> None:
-        """Read all tables now: the store has come back from a copy."""
+        """Read all tables again: the store was restored from a copy."""
         for feed in self._feeds:
             feed.note_era()
 
     def fetch_configuration(self) -> None:
-        """Note that there is a newer configuration, which a silent read would miss."""
+        """Start a new read of the configuration, as the pending one may hang."""
         self._configuration.wake()
 
     def _follow_configuration(self) -> TableFeed:
--- a/packages/mustardquay-node/src/mustardquay_node/gateway_metrics.py
+++ b/packages/mustardquay-node/src/mustardquay_node/gateway_metrics.py
@@ -1,4 +1,4 @@
-"""Gateway metrics: what a gateway counts and measures, for its `/metrics`."""
+"""Metrics of a gateway, which it serves at `/metrics`."""
 
 from collections import Counter
 from collections.abc import Callable, Mapping
@@ -12,29 +12,32 @@
 GAUGES = {
     "mustardquay.configuration.version": (
         "{version}",
-        "Version of the operator's configuration that is in force here.",
+        "Version of the operator's configuration that is active here.",
     ),
     "mustardquay.configuration.known": (
         "{version}",
-        "Newest version that this process knows of, by other gateways.",
+        "Newest version known to this process, other gateways' included.",
     ),
     "mustardquay.configuration.behind": (
         "s",
-        "Time for which a version that is not in force here has been known.",
+        "Time for which a version newer than the active one has been known.",
     ),
-    "mustardquay.ready": ("1", "1 while the process takes new work, else 0."),
-    "mustardquay.running": ("{request}", "Requests without a whole answer."),
-    "mustardquay.upstreams": ("{upstream}", "Upstreams that are listed."),
+    "mustardquay.ready": ("1", "1 while the process accepts new requests, else 0."),
+    "mustardquay.running": ("{request}", "Requests whose answers are not complete."),
+    "mustardquay.upstreams": ("{upstream}", "Listed upstreams."),
     "mustardquay.connections": ("{connection}", "Connections of callers."),
     "mustardquay.store.age": ("s", "Time since the store last answered."),
 }
-"""Gauges of a gateway: unit and meaning by name."""
+"""Gauges of a gateway: unit and description by name."""
 
 _SECONDS = (0.01, 0.02, 0.05, 0.1, 0.15, 0.2, 0.3, 0.5, 1, 2, 5, 15)
 
 
 class GatewayMetrics:
-    """The metrics of one gateway. Routes are the operator's, so they are few."""
+    """The metrics of one gateway.
+
+    Routes are defined by the operator, so the cardinality of their label is low.
+    """
 
     def __init__(self, process: str, availability_zone: str):
         self._answers: Counter[tuple[str, str]] = Counter()
@@ -51,7 +54,7 @@
         self._page = MetricPage(process, "gateway", availability_zone, histograms)
 
     def start(self, gauges: Mapping[str, Callable[[], float]]) -> None:
-        """Begin to export; `gauges` reads the value of each of `GAUGES`."""
+        """Start the export; `gauges` has the function that reads each of `GAUGES`."""
         self._page.start()
         self._page.add_counter(
             "mustardquay.requests",
@@ -62,14 +65,14 @@
         )
         self._page.add_counter(
             "mustardquay.sends",
-            "Sends to upstreams that have ended, by how they ended.",
+            "Sends to upstreams that have ended, by result.",
             self._sends,
             "mustardquay.route",
             "mustardquay.end",
         )
         self._page.add_counter(
             "mustardquay.readings.unused",
-            "Prompts that were read and nothing generated from, by the reason.",
+            "Prompts that were prefilled but never generated from, by reason.",
             self._unused_readings,
             "mustardquay.reason",
         )
@@ -77,7 +80,7 @@
             self._page.add_gauge(name, definition, gauges)
 
     def close(self) -> None:
-        """Stop to export."""
+        """Stop the export."""
         self._page.close()
 
     def count_answer(self, route: str, outcome: str) -> None:
@@ -89,13 +92,13 @@
         self._sends[route, end] += 1
 
     def count_unused_reading(self, reason: str) -> None:
-        """Count a prompt that was read for a request that nothing came of."""
+        """Count a prompt that was prefilled but never generated from."""
         self._unused_readings[(reason,)] += 1
 
     def record_first_byte(self, route: str, duration: timedelta) -> None:
-        """Count the time from a request's arrival to its answer's first byte."""
+        """Record the time from a request's arrival to its answer's first byte."""
         self._first_byte.record(duration.total_seconds(), route)
 
     def render(self) -> bytes:
-        """Return the page for Prometheus."""
+        """Return the metrics in the Prometheus text format."""
         return self._page.render()
--- a/packages/mustardquay-node/src/mustardquay_node/gateways.py
+++ b/packages/mustardquay-node/src/mustardquay_node/gateways.py
@@ -1,8 +1,8 @@
-"""Gateways: the process that callers meet where upstreams have no agents.
+"""The gateway process, which serves callers where upstreams run without agents.
 
-It follows the operator's configuration and the list of upstreams in the platform's
-store and sends requests to upstreams itself. It keeps nothing: a process that starts
-anew learns everything from the store and the upstreams.
+A gateway follows the operator's configuration and the list of upstreams in the
+platform's store and sends requests directly to upstreams. It has no persistent state:
+after a restart it rebuilds everything from the store and the upstreams.
 """
 
 import asyncio
@@ -41,13 +41,13 @@
 __all__ = ["Gateway"]
 
 SETTLE_LIMIT = timedelta(milliseconds=200)
-"""How long a gateway that has ended waits for requests that are half read."""
+"""How long a stopped gateway waits for requests that are only partly received."""
 TICK = timedelta(milliseconds=500)
-"""Time between two looks at what changes by time alone."""
+"""Interval of periodic checks: expired upstreams, settings files and readiness."""
 
 
 class Gateway:
-    """One gateway."""
+    """A gateway process: its components, their wiring and their life cycle."""
 
     def __init__(
         self,
@@ -109,7 +109,7 @@
 
     @property
     def is_ready(self) -> bool:
-        """Return whether callers may be sent here."""
+        """Return whether this gateway accepts new callers."""
         return (
             not self._stop.has_begun
             and self._forwarder.table is not None
@@ -119,25 +119,25 @@
 
     @property
     def address(self) -> str:
-        """Return the address for callers; with the real port after `start`."""
+        """Return the address for callers; after `start`, with the port in use."""
         return self._address
 
     @property
     def version(self) -> int:
-        """Return the version of the configuration in force, 0 before the first."""
+        """Return the version of the active configuration, 0 before the first."""
         return self._configurations.version
 
     @property
     def events(self) -> EventRing:
-        """Return the ring of this process's events."""
+        """Return the ring buffer of this process's events."""
         return self._events
 
     def list_upstreams(self) -> list[UpstreamRecord]:
-        """Return the upstreams that are listed."""
+        """Return the records of all listed upstreams."""
         return list(self._upstreams.list)
 
     async def start(self) -> None:
-        """Listen, and begin to follow the store."""
+        """Open the listeners and start to follow the store."""
         self._metrics.start(self._make_gauges())
         gateway = self._settings.gateway
         self._address = self._servers.listen_to_callers(
@@ -158,20 +158,20 @@
         self._warn_of_short_drain()
 
     def _warn_of_short_drain(self) -> None:
-        """Tell the operator of a time to drain in which callers can't be moved."""
+        """Warn of a drain timeout shorter than the load balancer needs to react."""
         timeout = self._settings.gateway.drain_timeout
         if timeout < BALANCER_NOTICE:
             self._events.record(
                 "settings.short_drain",
                 drain_ms=timeout // timedelta(milliseconds=1),
                 least_ms=BALANCER_NOTICE // timedelta(milliseconds=1),
-                remedy="Raise drain_timeout; callers come until the balancer notices.",
+                remedy="Raise drain_timeout; the balancer needs time to notice.",
             )
 
     async def close(self) -> None:
-        """Let the requests end, within the time to drain, and stop.
+        """Drain requests in flight, for at most the drain timeout, and stop.
 
-        Who asks again waits for the end that has begun.
+        Idempotent: further calls wait for the shutdown in progress.
         """
         if self._closing is None:
             self._closing = asyncio.create_task(self._close())
@@ -181,8 +181,8 @@
         await self._stop.run(self._settings.gateway.drain_timeout)
         self._servers.stop_accepting()
         self._connections.close_idle()
-        # Before anything that waits for the store, and before the connections are
-        # closed, which would look as if the callers had left.
+        # Must precede every step that waits for the store, and the closing of caller
+        # connections, which would be taken for callers that disconnected.
         await self._forwarder.close()
         await self._connections.settle(SETTLE_LIMIT)
         if self._ticker is not None:
@@ -198,7 +198,7 @@
         self._events.record("process.stopped")
 
     def reload(self) -> None:
-        """Read the settings again; what can't change in a running process is told."""
+        """Reload the settings; report a changed setting that needs a restart."""
         self._watch.reload()
 
     def _take_settings(self, settings: GatewaySettings) -> None:
@@ -365,7 +365,7 @@
 
     def _put_table(self, table: RoutingTable) -> None:
         self._forwarder.put_table(table)
-        # Others learn by it that there is something to read.
+        # The digest shows the other gateways that a newer version can be fetched.
         self._peers.hurry()
         self._servers.apply_limits(table.limits)
         self._upstreams.planner.take_table(table)
--- a/packages/mustardquay-node/src/mustardquay_node/generators.py
+++ b/packages/mustardquay-node/src/mustardquay_node/generators.py
@@ -1,4 +1,8 @@
-"""Generators: keep the books from which generations are placed and admitted."""
+"""Placement of generations, based on the work outstanding at each engine.
+
+Reading a prompt is its prefill; the engine that does it is the reader. The engine that
+generates is the decoder, and may be the same one.
+"""
 
 from collections.abc import Callable, Collection, Iterable, Sequence
 from dataclasses import dataclass, replace
@@ -34,33 +38,33 @@
 
 @dataclass(slots=True)
 class Ticket:
-    """A placed generation, until its prompt is read and its stream has ended."""
+    """A placed generation, from its placement to the end of its stream."""
 
     placement: Placement
     parts: tuple[HashedPart, ...]
     rank: int = 0
     is_read: bool = False
     is_running: bool = False
-    """Whether it holds a place at the engine that generates."""
+    """Whether it occupies a slot of the decoder."""
     reader_turn: Turn | None = None
     decoder_turn: Turn | None = None
-    """At the engine that generates, where another one reads."""
+    """Set if the decoder is not the reader."""
 
 
 @dataclass(slots=True)
 class KeptReading:
-    """A prompt that an engine has read, until its request has ended."""
+    """A prompt that an engine has prefilled, kept until its request has ended."""
 
     ticket: Ticket
     prefilled: Prefilled
     is_handle_used: bool = False
-    """Whether another engine may have taken the handle, which can be done once."""
+    """Whether another engine may have fetched the handle, which works only once."""
     is_used: bool = False
-    """Whether something was generated from it."""
+    """Whether an engine has generated from it."""
 
 
 class GenerationPlanner:
-    """Places generations, and notes and tells what is outstanding."""
+    """Places generations and tracks outstanding work, shared with other gateways."""
 
     def __init__(
         self,
@@ -73,7 +77,10 @@
         note_change: Callable[[], None] = lambda: None,
         random: Random | None = None,
     ):
-        """Take `note_change`, which hears that the work to be told has changed."""
+        """Initialise without outstanding work.
+
+        `note_change` is called whenever the outstanding work of this gateway changes.
+        """
         self._random = random or Random(0)
         self._sample = make_sample(self._random, 1)
         self._clock = clock
@@ -96,9 +103,9 @@
         size: int = 0,
         rank: int = 0,
     ) -> Placement | None:
-        """Return where a generation of `size` bytes goes now.
+        """Return the best placement now for a generation whose body has `size` bytes.
 
-        Engines read it before all that has a higher `rank`.
+        Engines read it before all prompts of a higher `rank`.
         """
         now = self._clock.monotonic()
         self._books.works.peers.expire(now)
@@ -120,11 +127,11 @@
     def renew_decoder(
         self, ticket: Ticket, engines: Sequence[UpstreamRecord], avoid: Collection[str]
     ) -> bool:
-        """Choose anew which engine generates from a prompt that has been read.
+        """Choose the decoder again after the prompt has been read.
 
-        Guards against an engine that began to leave, or to change its stage, while
-        the prompt waited to be read: after a long wait it would get a new request
-        although all know that it goes. Returns False if no engine generates.
+        Guards against a decoder that started to drain or to change its stage while the
+        prompt was queued: it would get a new request although the gateways have been
+        notified. Returns False if no decoder is available.
         """
         now = self._clock.monotonic()
         usable = self._drop_changing(engines)
@@ -151,14 +158,14 @@
         size: int = 0,
         rank: int = 0,
     ) -> Ticket:
-        """Note a placement that is carried out, of a request of `size` bytes."""
+        """Account for a placement that is about to be sent, of `size` bytes."""
         sends = 1 if placement.prefiller is None else 2
         self._uplink.take(size * sends, self._clock.monotonic())
         reader = placement.reader.id
         self._add_reading(reader, placement.read_seconds, rank)
         self._models.note_placed(placement.reader.service, placement.read_seconds)
         parts = hash_parts(prompt.parts)
-        # At once, so that the next prompts with these parts go there, too.
+        # Before the parts are read, so that the next prompts with them go there too.
         self._note_parts(placement.reader, parts)
         ticket = Ticket(placement, parts, rank)
         self._reserve_turns(ticket)
@@ -174,9 +181,9 @@
             ticket.decoder_turn = self._limits.reserve(placement.decoder, now)
 
     def end_reading(self, ticket: Ticket, is_handed_over: bool = False) -> None:
-        """Note that the prompt has been read, or won't be.
+        """Note that the prompt has been read, or never will be.
 
-        With `is_handed_over`, the engine that generates copies it.
+        With `is_handed_over`, the decoder copies it from the reader.
         """
         if ticket.is_read:
             return
@@ -206,9 +213,10 @@
         )
 
     def must_copy(self, reading: KeptReading) -> bool:
-        """Return whether a prompt can be had from its reader's cache only.
+        """Return whether a prompt can only be copied from its reader's cache.
 
-        Its handle may have been taken, or handles of that engine lapse at once.
+        That is so if its handle may have been fetched already, or if handles of that
+        engine currently expire at once.
         """
         reader = reading.ticket.placement.reader.id
         now = self._clock.monotonic()
@@ -221,7 +229,7 @@
         engines: Sequence[UpstreamRecord],
         avoid: Collection[str],
     ) -> ReadingLoss | None:
-        """Have another engine generate from a reading; returns why none can."""
+        """Reassign a prompt to another decoder; return why that fails, or None."""
         loss = self.find_loss(reading, engines, avoid)
         if loss is not None:
             return loss
@@ -234,7 +242,7 @@
         return None
 
     def _note_copied(self, ticket: Ticket) -> None:
-        """Note that the engine that generates copies the prompt."""
+        """Account for a prompt that the decoder copies and generates from."""
         self._note_parts(ticket.placement.decoder, ticket.parts)
         self._take_place(ticket)
 
@@ -249,13 +257,13 @@
         self._books.works.get(ticket.placement.decoder.id).running += 1
 
     def _note_parts(self, engine: UpstreamRecord, parts: Sequence[HashedPart]) -> None:
-        """Note where the parts are from now on, and tell the other gateways."""
+        """Note which engine has the parts, here and for the next digest."""
         self._books.prefixes.note(engine.id, engine.stage, parts)
         self._placed += [PlacedPart(engine.id, *part) for part in parts]
         del self._placed[:-PARTS_LIMIT]
 
     def end(self, ticket: Ticket) -> None:
-        """Note that the generation has ended."""
+        """Release everything that the generation still holds."""
         self.end_reading(ticket)
         for turn in (ticket.reader_turn, ticket.decoder_turn):
             if turn is not None:
@@ -266,7 +274,7 @@
             work.running = max(work.running - 1, 0)
 
     def hear(self, digest: PeerDigest) -> None:
-        """Take in what another gateway has outstanding."""
+        """Apply the outstanding work and placements of another gateway."""
         if not self._books.works.peers.hear(digest, self._clock.monotonic()):
             return
         self._models.hear(digest.speeds, self._clock.monotonic())
@@ -277,12 +285,12 @@
                 self._books.prefixes.note(engine.id, engine.stage, hashed)
 
     def note_listed(self, told: int, others: int) -> None:
-        """Take in how many gateways tell this one, and how many there are besides."""
+        """Note how many gateways send digests here, and how many others there are."""
         self._books.works.peers.unheard_ratio = others / told if told else 0.0
         self._sample = make_sample(self._random, 1 + told + others)
 
     def list_configurations(self) -> list[int]:
-        """Return the version of the configuration that each other gateway has."""
+        """Return the configuration version of each of the other gateways."""
         peers = self._books.works.peers
         peers.expire(self._clock.monotonic())
         return peers.list_configurations()
@@ -290,7 +298,7 @@
     def build_digest(
         self, name: str, incarnation: int, number: int, configuration: int
     ) -> PeerDigest:
-        """Return what the other gateways are told next."""
+        """Return the next digest and clear the placements it contains."""
         placed, self._placed = tuple(self._placed), []
         named = {part.engine for part in placed}
         engines = tuple(
@@ -310,25 +318,25 @@
         )
 
     def tell_changing(self, engines: Collection[str]) -> None:
-        """Note the engines that this gateway has ordered to change their stage."""
+        """Set the engines that this gateway has ordered to change their stage."""
         self._changing = set(engines)
 
     def count_streams(self, engine: str) -> int:
-        """Return the generations that run at an engine, of all gateways."""
+        """Return the number of generations of all gateways running at an engine."""
         return self._books.works.sum_running(engine)
 
     def take_held(self, engine: UpstreamRecord, parts: Sequence[PromptPart]) -> None:
-        """Take in the parts that an engine says it holds."""
+        """Note the parts that an engine reports as cached."""
         self._books.prefixes.note(engine.id, engine.stage, hash_parts(parts))
 
     def forget(self, id: str) -> None:
-        """Drop an engine that is gone or has started anew."""
+        """Discard the state of an engine that was removed or restarted."""
         self._books.works.works.pop(id, None)
         self._books.prefixes.caches.pop(id, None)
         self._models.forget(id)
 
     def take_table(self, table: RoutingTable) -> None:
-        """Take in what the operator declares of engines and of routes to them."""
+        """Apply what the configuration declares of engines and of routes to them."""
         self._books.pauses.clear()
         self._books.pauses.update(find_pauses(table.routes))
         for service in table.services.values():
@@ -341,9 +349,10 @@
             )
 
     def learn_read(self, ticket: Ticket, took: timedelta) -> None:
-        """Take in how long another engine than the one that generates read.
+        """Learn from the time that a reader other than the decoder took.
 
-        What came later may have gone before a late one: it tells nothing of the engine.
+        Late prompts are left out: prompts that came later may have been read first, so
+        their times say nothing about the speed of the engine.
         """
         if ticket.rank >= LATE_RANK:
             return
@@ -358,7 +367,7 @@
         )
 
     def learn_first(self, ticket: Ticket, took: timedelta) -> None:
-        """Take in how long after its start a generation had its first event."""
+        """Learn from the time from a generation's start to its first event."""
         placement = ticket.placement
         engine = placement.decoder
         streams = self._books.works.sum_running(engine.id)
@@ -376,17 +385,17 @@
         )
 
     def learn_pause(self, engine: UpstreamRecord, pause: timedelta) -> None:
-        """Take in the mean time between the events of a stream that has ended."""
+        """Learn from the mean time between events of a stream that has ended."""
         streams = self._books.works.sum_running(engine.id)
         self._models.learn_pause(engine.service, streams, pause.total_seconds())
 
     def count_samples(self, service: str) -> float:
-        """Return the readings that count in what is known of a service's engines."""
+        """Return the weight of the samples behind the model of a service's engines."""
         return self._models.count_samples(service)
 
 
 def find_pauses(routes: Iterable[Route]) -> dict[str, timedelta]:
-    """Return the shortest of the longest pauses of the routes to each service."""
+    """Return the strictest limit on pauses among the routes to each service."""
     pauses: dict[str, timedelta] = {}
     for route in routes:
         if not route.has_prompt or route.longest_pause is None:
--- a/packages/mustardquay-node/src/mustardquay_node/histograms.py
+++ b/packages/mustardquay-node/src/mustardquay_node/histograms.py
@@ -1,8 +1,8 @@
-"""Histograms: distributions summed up in place, given to OpenTelemetry on a scrape.
+"""Low-overhead histograms, converted to OpenTelemetry data points on a scrape.
 
-A histogram of the OpenTelemetry SDK takes some 14 microseconds a value, which for
-the values of one request is more than the rest of its way through an entry. These
-take under one. They become data points of the SDK's own model when it collects.
+A histogram of the OpenTelemetry SDK takes some 14 microseconds to record a value, which
+for all values of one request exceeds the rest of its processing in an entry. These
+take less than one microsecond.
 """
 
 from bisect import bisect_left
@@ -29,10 +29,10 @@
 
 
 class Histogram:
-    """One metric: a distribution for each set of attribute values.
+    """A metric with one distribution for each set of attribute values.
 
-    Attributes must come from a bounded set, since each set of values is kept for
-    the life of the process.
+    The sets of attribute values must be bounded in number, since each is kept for the
+    lifetime of the process.
     """
 
     def __init__(
@@ -52,7 +52,7 @@
         self._started = time_ns()
 
     def record(self, value: float, *attributes: str) -> None:
-        """Count a value; `attributes` are in the order of the histogram's names."""
+        """Record a value; `attributes` are in the order of the histogram's names."""
         series = self._series.get(attributes)
         if series is None:
             series = _Series(len(self._boundaries) + 1)
@@ -65,8 +65,8 @@
             series.largest = value
 
     def collect(self) -> "Metric":
-        """Return the metric as it stands."""
-        # Loaded for a page only: counting must not wait for it at a process's start.
+        """Return the current state as a metric of the OpenTelemetry SDK."""
+        # Imported only when a page is rendered, so as not to slow down the start.
         from opentelemetry.sdk.metrics.export import (
             AggregationTemporality,
             Histogram as HistogramData,
--- a/packages/mustardquay-node/src/mustardquay_node/metric_exporters.py
+++ b/packages/mustardquay-node/src/mustardquay_node/metric_exporters.py
@@ -1,6 +1,7 @@
-"""Metric exporters: the metrics of one process as a page, by OpenTelemetry.
+"""Export of the metrics of one process with OpenTelemetry and Prometheus.
 
-Loads the libraries that make pages, so that it is imported only for a page.
+Importing this module loads both libraries, so it is imported only when the first page
+is rendered.
 """
 
 from collections import Counter
@@ -28,7 +29,7 @@
 
 
 class _Reader(PrometheusMetricReader):
-    """Adds our own histograms to what the SDK has collected."""
+    """Adds histograms of this project to the metrics that the SDK collects."""
 
     def __init__(self, registry: CollectorRegistry, histograms: Iterable[Histogram]):
         super().__init__(registry=registry, scope_info_enabled=False)
@@ -49,7 +50,7 @@
 
 
 class MetricExporter:
-    """Reads the counters, gauges and histograms of one process for each page."""
+    """Collects the counters, gauges and histograms of one process for each page."""
 
     def __init__(self, resource: Mapping[str, str], histograms: Iterable[Histogram]):
         self._registry = CollectorRegistry()
@@ -62,7 +63,7 @@
         self._meter = self._provider.get_meter("mustardquay", __version__)
 
     def close(self) -> None:
-        """Stop to export."""
+        """Shut down the export."""
         self._provider.shutdown()
 
     def render(self) -> bytes:
@@ -76,7 +77,7 @@
         counts: Counter[tuple[str, ...]],
         attributes: tuple[str, ...],
     ) -> None:
-        """Export the numbers of a counter, whose keys hold the attributes' values."""
+        """Export a counter whose keys are tuples of attribute values."""
 
         def observe(options: CallbackOptions) -> list[Observation]:
             return [
@@ -91,7 +92,7 @@
     def add_gauge(
         self, name: str, definition: tuple[str, str], read: Callable[[], float]
     ) -> None:
-        """Export a gauge; `definition` is unit and meaning."""
+        """Export a gauge; `definition` is its unit and description."""
 
         def observe(options: CallbackOptions) -> list[Observation]:
             return [Observation(read())]
--- a/packages/mustardquay-node/src/mustardquay_node/metric_pages.py
+++ b/packages/mustardquay-node/src/mustardquay_node/metric_pages.py
@@ -1,7 +1,7 @@
-"""Metric pages: counters, gauges and histograms of one process for Prometheus.
+"""The metrics page of one process, in the format of Prometheus.
 
-OpenTelemetry reads them when the page is asked for; counting is a plain addition.
-Several processes may live in one Python process, each with its own registry.
+OpenTelemetry collects the metrics when the page is requested; counting is a plain
+addition. Several nodes may run in one Python process, each with its own registry.
 """
 
 import asyncio
@@ -21,16 +21,16 @@
 
 
 async def load_exporters() -> Any:
-    """Return the module `metric_exporters`.
+    """Import the module `metric_exporters` in a thread and return it.
 
-    Guards against a pause of all streams: the first page loads the libraries that
-    make it, in a thread, which lets the event loop run between.
+    The first page loads the export libraries; an import in the event loop would pause
+    all streams.
     """
     return await asyncio.to_thread(import_module, ".metric_exporters", __package__)
 
 
 class MetricPage:
-    """The page of one process; metrics are added after `start`."""
+    """The metrics page of one process; metrics are added after `start`."""
 
     def __init__(
         self,
@@ -53,15 +53,15 @@
 
     @property
     def is_started(self) -> bool:
-        """Return whether metrics may be added."""
+        """Return whether the export was started, so that metrics may be added."""
         return self._is_started
 
     def start(self) -> None:
-        """Begin to export."""
+        """Start the export."""
         self._is_started = True
 
     def close(self) -> None:
-        """Stop to export."""
+        """Stop the export."""
         self._is_started = False
         self._additions.clear()
         if self._exporter is not None:
@@ -69,7 +69,7 @@
             self._exporter = None
 
     def render(self) -> bytes:
-        """Return the page; the first one takes long without `load_exporters`."""
+        """Return the page; the first call is slow without `load_exporters`."""
         if not self._is_started:
             return b""
         if self._exporter is None:
@@ -83,7 +83,7 @@
         counts: Counter[tuple[str, ...]],
         *attributes: str,
     ) -> None:
-        """Export the numbers of a counter, whose keys hold the attributes' values."""
+        """Export a counter whose keys are tuples of attribute values."""
         self._add(lambda to: to.add_counter(name, description, counts, attributes))
 
     def add_gauge(
@@ -92,14 +92,14 @@
         definition: tuple[str, str],
         gauges: Mapping[str, Callable[[], float]],
     ) -> None:
-        """Export a gauge; `definition` is unit and meaning, `gauges` gives its value.
+        """Export a gauge; `definition` is its unit and description.
 
-        The value is looked up at each scrape, so that it may be replaced.
+        Its function is looked up in `gauges` at each scrape, so it may be replaced.
         """
         self._add(lambda to: to.add_gauge(name, definition, lambda: gauges[name]()))
 
     def _add(self, addition: "Callable[[MetricExporter], None]") -> None:
-        """Add to the exporter, or keep what is to be added until a page needs it."""
+        """Add a metric, deferred until the first page creates the exporter."""
         assert self._is_started
         self._additions.append(addition)
         if self._exporter is not None:
--- a/packages/mustardquay-node/src/mustardquay_node/peers.capnp
+++ b/packages/mustardquay-node/src/mustardquay_node/peers.capnp
@@ -1,5 +1,5 @@
 @0xb7e21c5a9d3f4408;
-# Datagrams between gateways; mustardquay.peer_books says what they mean.
+# Datagrams between gateways; mustardquay.peer_books documents their meaning.
 
 struct Crash {
   upstream @0 :Text;
@@ -32,23 +32,24 @@
   perSecond @1 :Float32;
 }
 
-# Lists of numbers in place of lists of structs: these take ten times as long to read
-# in this language, and there are hundreds of datagrams a second.
+# Parallel lists of numbers instead of lists of structs, which take ten times as long to
+# read in Python; there are hundreds of datagrams a second.
 struct Digest {
-  # A datagram of another layout can't be read.
+  # Datagrams of another layout are ignored.
   layout @0 :UInt16;
   gateway @1 :Text;
   incarnation @2 :UInt64;
-  # Rises by one with each datagram of an incarnation.
+  # Sequence number; increases by one with each datagram of an incarnation.
   number @3 :UInt64;
   configuration @4 :UInt64;
   engines @5 :List(Text);
-  # Ranks at which there is work, and for each engine its microseconds at each of them.
+  # Ranks that have outstanding work, and for each engine the microseconds of work at
+  # each of these ranks.
   ranks @6 :List(UInt8);
   readMicroseconds @7 :List(UInt32);
-  # Generations that run, by engine.
+  # Running generations, by engine.
   running @8 :List(UInt16);
-  # Parts of prompts that engines have begun to read; engines by position in the list.
+  # Prompt parts recently placed on engines; each engine by its index in `engines`.
   placedEngines @9 :List(UInt16);
   placedParts @10 :List(UInt64);
   placedTokens @11 :List(UInt32);
@@ -58,11 +59,11 @@
   speeds @14 :List(PoolSpeeds);
   availabilityZone @15 :Text;
   ready @16 :Bool;
-  # For a gateway that stops: the time that it has at most.
+  # If the gateway is stopping: the time until it has stopped at the latest.
   stopping @17 :Bool;
   endsInMilliseconds @18 :UInt32;
   limits @19 :List(RateLimit);
-  # Whether the sender knows of a limit, so that its demands count.
+  # Whether the sender has seen a rate limit, so that `demands` are valid.
   tellsDemands @20 :Bool;
   demands @21 :List(ServiceDemand);
 }
--- a/packages/mustardquay-node/src/mustardquay_node/peers.py
+++ b/packages/mustardquay-node/src/mustardquay_node/peers.py
@@ -1,7 +1,7 @@
-"""Peers: digests between gateways, as datagrams, to those that the store lists.
+"""Exchange of digests between the gateways listed in the store, over UDP.
 
-A datagram needs no connection that could go silent: what does not arrive is replaced
-by the next one.
+Datagrams need no connections, which could hang: a lost digest is replaced by the next
+one.
 """
 
 import asyncio
@@ -33,34 +33,36 @@
 logger = logging.getLogger(__name__)
 
 PEERS_TABLE = "gateways"
-"""Table where each gateway writes its address, once in its life."""
+"""Table in which each gateway registers its address when it starts."""
 BUSY_INTERVAL = timedelta(milliseconds=40)
-"""Least time between digests; an engine reads some two prompts in it."""
+"""Minimum time between digests; an engine reads some two prompts in it."""
 PEER_INTERVAL = timedelta(milliseconds=2.5)
-"""The same for each peer that is told, so that many peers don't make a gateway spend
-more: some 400 datagrams a second at most."""
+"""Minimum time between digests for each recipient, which limits a gateway with many
+peers to some 400 datagrams a second."""
 STEADY_INTERVAL = timedelta(milliseconds=200)
-"""Most time between digests of work that does not change: lost ones are replaced well
-within the time for which a digest counts."""
+"""Maximum time between digests while there is outstanding work that does not change, so
+that a lost one is replaced well before the previous one expires."""
 IDLE_INTERVAL = timedelta(milliseconds=400)
-"""The same without work."""
+"""Maximum time between digests without outstanding work."""
 DATAGRAM_LIMIT = 1400
-"""Bytes; more would be split into several packets, of which one lost loses all."""
+"""Bytes; a larger datagram is fragmented, and the loss of one fragment loses all."""
 PARTS_LIMIT = 60
-"""Parts in one datagram: with their engines they stay within the limit."""
+"""Prompt parts in one digest: with their engines they fit into `DATAGRAM_LIMIT`."""
 PEERS_LIMIT = 32
-"""Peers that are told, the nearest in the order of names. More would cost a
-large fleet too much."""
+"""Recipients of the digests of one gateway, its neighbours in the order of names. More
+would be too expensive in a large fleet."""
 REGISTER_SPREAD = timedelta(seconds=1)
-"""Time over which gateways list their addresses again."""
+"""Time over which the gateways spread their new registrations after a restore of the
+store."""
 REGISTER_RETRY = timedelta(seconds=1)
 FAREWELL_LIMIT = timedelta(milliseconds=300)
-"""How long the store may take for the last call: the platform kills a process that
-stops one second after its time to drain. An address that stays listed harms nobody."""
+"""Timeout of the call that removes the registration: the platform kills a stopping
+process one second after its drain timeout. An address that stays registered has no
+further effect."""
 
 
 class PeerLink(asyncio.DatagramProtocol):
-    """Tells the other gateways what this one has outstanding."""
+    """Sends the digests of this gateway to its peers and receives theirs."""
 
     def __init__(
         self,
@@ -74,10 +76,11 @@
         note_listed: Callable[[Collection[str], int], None] = lambda told, others: None,
         random: Random | None = None,
     ):
-        """Take `build`, which makes the next digest, and `hear` for those of others.
+        """Initialise without peers; `build` returns the next digest of this gateway.
 
-        `note_listed` hears of the gateways that are listed: which ones this one tells
-        and is told by, and how many there are besides.
+        `hear` is called with each digest received. `note_listed` is called with each
+        new list of gateways: those that exchange digests with this one, and the number
+        of the others.
         """
         self._name = name
         self._address = address
@@ -95,7 +98,7 @@
         self._tasks: list[asyncio.Task[None]] = []
 
     async def start(self) -> None:
-        """Listen, and begin to tell."""
+        """Open the socket, register the address and start to send digests."""
         loop = asyncio.get_running_loop()
         self._transport, _ = await loop.create_datagram_endpoint(
             lambda: self, local_addr=split_address(self._address)
@@ -108,7 +111,7 @@
         ]
 
     async def close(self) -> None:
-        """Stop, and take the address back."""
+        """Stop, and remove the registration of the address."""
         for task in self._tasks:
             task.cancel()
         await asyncio.gather(*self._tasks, return_exceptions=True)
@@ -119,24 +122,24 @@
             async with asyncio.timeout(FAREWELL_LIMIT.total_seconds()):
                 await self._store.transact(Transaction(writes=(write,)))
         except (MustardquayError, TimeoutError) as error:
-            logger.info("The address stays listed: %r", error)
+            logger.info("Could not remove the registered peer address: %r", error)
 
     @property
     def count(self) -> int:
-        """Return how many gateways are listed, this one included."""
+        """Return the number of listed gateways, including this one."""
         return len(self._peers) + 1
 
     def hurry(self) -> None:
-        """Send the next digest now: there is news that can't wait."""
+        """Send the next digest as soon as possible, for urgent changes."""
         self._hurry.set()
         self._changed.set()
 
     def note_change(self) -> None:
-        """Send the next digest as soon as one may follow the last one."""
+        """Send the next digest once the minimum interval since the last one is over."""
         self._changed.set()
 
     def take_rows(self, rows: Sequence[StoreRow], is_whole: bool) -> None:
-        """Take in the addresses of the gateways."""
+        """Apply rows of the table of gateways: all if `is_whole`, else changes."""
         if is_whole:
             self._peers.clear()
         for row in rows:
@@ -152,7 +155,7 @@
         self._note_listed(told, len(self._peers) - len(told))
 
     def datagram_received(self, data: bytes, addr: Any) -> None:
-        """Take in a datagram."""
+        """Decode a datagram and pass on its digest, unless it is this gateway's own."""
         digest = decode_digest(data)
         if digest is None:
             self._events.record("peer.unreadable", address=str(addr))
@@ -160,12 +163,12 @@
             self._hear(digest)
 
     def error_received(self, exc: Exception) -> None:
-        """Leave a peer that does not listen to the next digest."""
+        """Ignore an unreachable peer; the next digest is sent to it as well."""
 
     def note_era(self) -> None:
-        """List the address again: the copy that the store came back from may lack it.
+        """Register the address again: the restored copy of the store may lack it.
 
-        Spread in time, as all gateways do so at once.
+        After a random delay, as all gateways register at the same time.
         """
         delay = REGISTER_SPREAD * self._random.random()
         self._tasks.append(asyncio.create_task(self._register(delay)))
@@ -179,7 +182,9 @@
                 await self._store.transact(Transaction(writes=(write,)))
                 return
             except MustardquayError as error:
-                logger.info("The address is not listed yet: %s", error)
+                logger.info(
+                    "Could not register the peer address, will retry: %s", error
+                )
                 await asyncio.sleep(REGISTER_RETRY.total_seconds())
 
     async def _tell_forever(self) -> None:
@@ -211,12 +216,13 @@
 
 
 def list_told(name: str, peers: Iterable[str]) -> list[str]:
-    """Return the peers that a gateway tells: its neighbours, around the ring.
+    """Return the recipients of a gateway's digests: its neighbours in a ring of names.
 
-    Guards against gateways that nobody tells: if all told the same few, the others of
-    a large fleet would place work as if they were alone. On both sides, since names
-    begin with those of availability zones: the first of one would hear of no other one
-    there, and not know whether callers need it while it stops.
+    Guards against gateways that receive no digests: if all gateways sent theirs to the
+    same few, the others of a large fleet would place work as if they were alone.
+    Neighbours on both sides are chosen since names begin with those of availability
+    zones: otherwise the first gateway of a zone would receive nothing from others of
+    that zone, and could not tell while it stops whether callers still need it.
 
     >>> list_told("c", ["a", "b", "d"])
     ['d', 'a', 'b']
--- a/packages/mustardquay-node/src/mustardquay_node/processes.py
+++ b/packages/mustardquay-node/src/mustardquay_node/processes.py
@@ -1,4 +1,4 @@
-"""Processes: one process of the kind its settings name, from start to stop."""
+"""Life cycle of a process, whose kind the settings specify."""
 
 import asyncio
 import errno
@@ -23,10 +23,10 @@
 __all__ = ["run", "run_node"]
 
 PROCESS_ACTION = "mustardquay:process"
-"""Type of the eliot action that all the lines of a process belong to."""
+"""Type of the eliot action that contains all log lines of a process."""
 COLLECTOR_THRESHOLDS = (20_000, 10, 20)
 SETTINGS_ERROR = 2
-"""Exit code for settings that can't be used."""
+"""Exit code for invalid settings."""
 
 _LISTEN_FAULTS = (errno.EADDRINUSE, errno.EADDRNOTAVAIL, errno.EACCES)
 
@@ -51,7 +51,7 @@
 async def run_node(
     settings: "Settings | GatewaySettings", files: Sequence[Path] = ()
 ) -> None:
-    """Run the process that the settings describe until a signal asks to stop."""
+    """Run the process that the settings describe until a signal to stop arrives."""
     logs = Logs(settings.node.log_level)
     logs.start()
     node = _make_node(settings, files)
@@ -66,7 +66,7 @@
     for number in (signal.SIGTERM, signal.SIGINT):
         loop.add_signal_handler(number, stop.set)
     try:
-        # Without an action around them, eliot makes up an id for every line.
+        # Without an enclosing action, eliot generates an id for each line.
         with eliot.start_task(action_type=PROCESS_ACTION, process=settings.node.name):
             await node.start()
             _relieve_collector()
@@ -77,8 +77,8 @@
 
 
 def _make_node(settings: "Settings | GatewaySettings", files: Sequence[Path]) -> Any:
-    # Only the modules of its own kind are loaded: a process that is started again
-    # refuses connections until they are.
+    # Only the modules of this kind are imported: a restarted process refuses
+    # connections until its imports are done.
     if isinstance(settings, GatewaySettings):
         from .gateways import Gateway
 
@@ -93,11 +93,11 @@
 
 
 def _relieve_collector() -> None:
-    # The modules and the settings stay for good, and requests leave few cycles;
-    # with the usual thresholds the collector goes over all of them again and again,
-    # which shows as processor time and as pauses between tokens. Without a collection
-    # before, which would hold up the first look at the store: some hundred objects that
-    # were given up at the start stay too.
+    # Modules and settings live as long as the process, and requests create few
+    # reference cycles. With the default thresholds, the collector repeatedly traverses
+    # all of them, which costs processor time and causes pauses between tokens. There is
+    # no collection before the freeze, as it would delay the first read of the store;
+    # some hundred unreachable objects of the start are frozen too.
     gc.freeze()
     gc.set_threshold(*COLLECTOR_THRESHOLDS)
     gc.enable()
--- a/packages/mustardquay-node/src/mustardquay_node/programs.py
+++ b/packages/mustardquay-node/src/mustardquay_node/programs.py
@@ -1,4 +1,4 @@
-"""Programs: the binary `mustardquayd`, one process of the kind its settings name."""
+"""Entry point of `mustardquayd`, a process whose kind its settings specify."""
 
 import gc
 import os
@@ -13,10 +13,10 @@
 def main() -> None:
     """Run the program."""
     note_early_reloads()
-    # While modules are loaded nothing is given up, and the collector would go over
-    # all of them again and again; a process turns it on once it has started.
+    # Imports create almost no garbage, and the collector would repeatedly traverse all
+    # loaded modules; the process enables it again once it has started.
     gc.disable()
-    # Pydantic would look through all installed packages for plugins; none is used.
+    # Pydantic would scan all installed packages for plugins; none is used.
     os.environ.setdefault("PYDANTIC_DISABLE_PLUGINS", "__all__")
     words = sys.argv[1:]
     if words and not any(word.startswith("-") for word in words):
@@ -24,8 +24,8 @@
 
         run([Path(word) for word in words])
         return
-    # Loaded for help, options and mistakes only: a start that names just its files
-    # needs none of it.
+    # Imported only for help, options and usage errors: a start with just settings files
+    # does not need it.
     from .command_lines import application
 
     application()
--- a/packages/mustardquay-node/src/mustardquay_node/seeds.py
+++ b/packages/mustardquay-node/src/mustardquay_node/seeds.py
@@ -1,4 +1,4 @@
-"""Seeds: where the random numbers of a process begin."""
+"""Seeds of the random number generators of processes."""
 
 from random import SystemRandom
 
@@ -6,5 +6,5 @@
 
 
 def make_seed() -> int:
-    """Return a seed that no two processes share."""
+    """Return a random 64-bit seed, different for each process."""
     return SystemRandom().getrandbits(64)
--- a/packages/mustardquay-node/src/mustardquay_node/sleeps.py
+++ b/packages/mustardquay-node/src/mustardquay_node/sleeps.py
@@ -1,4 +1,4 @@
-"""Sleeps: waiting that is passed in, so that tests run without real time."""
+"""The sleep function, injected so that tests need not wait in real time."""
 
 import asyncio
 from collections.abc import Awaitable, Callable
@@ -11,5 +11,5 @@
 
 
 async def sleep(duration: timedelta) -> None:
-    """Wait on the event loop."""
+    """Sleep on the event loop."""
     await asyncio.sleep(duration.total_seconds())
--- a/packages/mustardquay-node/src/mustardquay_node/stage_keepers.py
+++ b/packages/mustardquay-node/src/mustardquay_node/stage_keepers.py
@@ -1,10 +1,10 @@
-"""Stage keepers: one gateway at a time orders engines to change their stage.
+"""Control of the stages of engines by the one gateway that holds a lease.
 
-Engines here don't check fences, so the orders of two holders must be apart: a renewal
-counts for the holder only `ORDER_VALIDITY`, and a challenger waits `LEASE_TERM`. The
-lease is renewed just before an order; while nothing is to be ordered, it is only
-looked at now and then, so that a holder that is gone is known to be silent when a
-change is due.
+These engines don't check fencing tokens, so orders of two holders must be kept apart in
+time: after a renewal the holder may give orders only for `ORDER_VALIDITY`, while a
+challenger waits `LEASE_TERM` before it takes over. The lease is renewed just before an
+order. While no change is due, gateways only observe it from time to time, so that the
+absence of a failed holder is already established when a change becomes due.
 """
 
 import asyncio
@@ -27,56 +27,58 @@
 
 DOMAIN = "stages"
 ORDER_VALIDITY = timedelta(seconds=0.7)
-"""How long after a renewal was sent its holder gives orders."""
+"""How long the holder may give orders after it sent a renewal."""
 LEASE_TERM = timedelta(seconds=4.4)
-"""How long a challenger sees no renewal before it takes over. The platform counts
-orders of two holders within 3 s as a conflict; validity, that and 0.5 s for calls that
-hang are less than the term."""
+"""How long a challenger must observe no renewal before it takes over. The platform
+treats orders of two holders within 3 s as a conflict; the sum of `ORDER_VALIDITY`,
+these 3 s and 0.5 s for calls that hang is less than the term."""
 OBSERVE_INTERVAL = timedelta(seconds=10)
-"""Time between two looks at the lease while nothing is to be ordered, the first at the
-start: two calls each. A renewal seen neither then nor now has been away for the term,
-which then need not be waited out while no engine generates."""
+"""Interval at which the lease is observed while no change is due, from the start on.
+Each observation is two calls. If the lease was not renewed since the last one, the term
+has already passed and need not be waited out while no engine generates."""
 TURN = timedelta(seconds=1)
+"""Interval of the control loop."""
 HURRIED_TURN = timedelta(milliseconds=150)
-"""Time between turns after an engine that generates has begun to leave, ..."""
+"""Shorter interval after a decoding engine has started to drain."""
 HURRIED_TURNS = 4
-"""... and how many such turns: the planner waits 0.3 s whether it comes back."""
+"""Number of shorter intervals; the planner waits 0.3 s in case the engine returns."""
 SETTLING = timedelta(seconds=3)
-"""After the start nothing is ordered for so long: the list of engines fills up as
-they write their first records, and a part of it makes another plan."""
+"""Time after the start in which no orders are given: the list of engines fills up as
+they write their first records, and an incomplete list results in a different plan."""
 NOTICE = timedelta(milliseconds=90)
-"""How long before an order the other gateways are told, by a digest that is sent at
-once: an engine that changes refuses what it has not begun."""
+"""Time between the notice to other gateways, in a digest sent at once, and the order:
+an engine that changes its stage refuses requests that it has not started."""
 ORDER_PATIENCE = timedelta(seconds=6)
-"""How long an engine that was ordered may show its old stage before it is asked
-again. A change takes some 3 s and its record is written each 1.2 s."""
+"""How long an engine may report its old stage after an order before a new order is
+considered. A change takes some 3 s, and the record is written every 1.2 s."""
 ACCEPTED = (200, 202)
+"""HTTP status codes of accepted orders."""
 
 
 @dataclass(slots=True)
 class StageKeeperParts:
-    """What a stage keeper needs of its process."""
+    """Dependencies of a `StageKeeper`."""
 
     adapter: Adapter
     store: StoreTables
     clock: Clock
-    """Counts the time in which the machine is suspended."""
+    """A clock that keeps running while the machine is suspended."""
     random: Random
     events: EventRing
     upstreams: UpstreamList
     is_lost: Callable[[str], bool]
-    """Says whether an engine has been out of reach for long."""
+    """Returns whether an engine has been unreachable for long."""
     list_services: Callable[[], list[str]]
-    """Names the services whose upstreams are engines."""
+    """Lists the services whose upstreams are engines."""
     call: CallEngine
     count_streams: Callable[[str], int]
-    """Counts the generations that run at an engine."""
+    """Returns the number of generations running at an engine."""
     measure_capacities: Callable[[Sequence[UpstreamRecord]], Mapping[str, float]]
-    """Measures which part of their usual work rate limits leave engines."""
+    """Returns the share of its usual work that rate limits permit, by engine."""
     tell_changing: Callable[[Collection[str]], None]
-    """Tells all gateways which engines change their stage and take no work."""
+    """Notifies all gateways of engines that change their stage and accept no work."""
     is_serving: Callable[[], bool]
-    """Whether callers have come."""
+    """Returns whether this gateway has served callers."""
 
 
 @dataclass(slots=True)
@@ -86,10 +88,10 @@
 
 
 class StageKeeper:
-    """Competes for the lease when a change is due, and orders it as the holder."""
+    """Orders changes of stages that are due, after it has acquired the lease."""
 
     def __init__(self, name: str, parts: StageKeeperParts):
-        """Take a name that no two starts of a process share."""
+        """Initialise the controller; `name` must differ for each start of a process."""
         self._name = name
         self._parts = parts
         self._planner = StagePlanner()
@@ -102,29 +104,31 @@
         self._hurried = 0
 
     def start(self) -> None:
-        """Begin to look for changes."""
+        """Start the control loop."""
         self._task = asyncio.create_task(self._run())
 
     async def close(self) -> None:
-        """Stop; the lease runs out by itself, as another must not go on at once."""
+        """Stop without releasing the lease: another holder must wait out its term."""
         if self._task is not None:
             self._task.cancel()
             await asyncio.gather(self._task, return_exceptions=True)
 
     def hurry(self) -> None:
-        """Look for changes now: an engine that generates begins to leave.
+        """Plan without waiting for the interval: a decoding engine starts to drain.
 
-        A change takes an engine away for seconds, in which the loss of another one
-        would leave nobody to generate. A turn of a second and the planner's wait made
-        the order 1.7 s late, and all generations were refused for 1.5 s.
+        A change of stage makes an engine unavailable for seconds, and the loss of
+        another one during that time would leave no engine to generate. The usual
+        interval of a second plus the planner's wait delayed an order by 1.7 s, and all
+        generations were refused for 1.5 s.
         """
         self._hurried = HURRIED_TURNS
         self._hurry.set()
 
     def note_era(self) -> None:
-        """Give up the lease this instant: the store has come back from a copy.
+        """Give up the lease immediately: the store was restored from a copy.
 
-        Another gateway may have taken it over since the copy was made, and order now.
+        Another gateway may have taken it over since the copy was made and may already
+        give orders.
         """
         now = self._parts.clock.monotonic()
         if self._lease.is_held(now):
@@ -155,7 +159,7 @@
         self._hurry.clear()
 
     async def turn(self) -> None:
-        """Order what is due, if this process holds or gets the lease."""
+        """Order the changes that are due, if this process can hold the lease."""
         if self._is_observation_due():
             await self._observe()
         if self._parts.clock.monotonic() - self._started < SETTLING:
@@ -222,7 +226,7 @@
         era = parts.store.era
         beat = await parts.store.read(BEATS, DOMAIN)
         if parts.store.era != era:
-            # The two rows are of two lives of the store.
+            # The store was restored between the two reads.
             self.note_era()
             return
         rows = LeaseRows(lease, beat, era)
@@ -272,8 +276,8 @@
         )
         status = exchange.head.status if exchange and exchange.head else 0
         if not status:
-            # It may still be carried out, seconds later. The next order expects the
-            # same number of orders before it, so that only one of the two holds.
+            # The order may still be carried out seconds later. The next order expects
+            # the same number of previous orders, so only one of the two is accepted.
             del self._ordered[engine.id]
             self._parts.tell_changing(set(self._ordered))
         self._log(change, _name_outcome(status), status)
--- a/packages/mustardquay-node/src/mustardquay_node/upstream_intakes.py
+++ b/packages/mustardquay-node/src/mustardquay_node/upstream_intakes.py
@@ -1,4 +1,4 @@
-"""Upstream intakes: the records of upstreams in the store, taken into the list."""
+"""Updates of the list of upstreams from rows of the store."""
 
 from collections import OrderedDict
 from collections.abc import Callable, Sequence
@@ -15,11 +15,11 @@
 __all__ = ["UpstreamIntake"]
 
 GONE_LIMIT = 1_000
-"""Upstreams that are gone whose last records are kept."""
+"""Removed upstreams whose last records are kept."""
 
 
 class UpstreamIntake:
-    """Keeps the list of upstreams by the rows that the store tells of."""
+    """Keeps the list of upstreams in step with the rows of the store."""
 
     def __init__(
         self,
@@ -30,9 +30,10 @@
         forget: Callable[[str], None],
         note_leaving: Callable[[UpstreamRecord], None],
     ):
-        """Take `forget`, which hears of upstreams that are gone or started anew.
+        """Initialise the updater of `upstreams`.
 
-        `note_leaving` hears of those that begin to leave, or are gone without it.
+        `forget` is called for each upstream that was removed or restarted,
+        `note_leaving` for each one that starts to drain, or is removed without that.
         """
         self._adapter = adapter
         self._upstreams = upstreams
@@ -41,23 +42,23 @@
         self._forget = forget
         self._note_leaving = note_leaving
         self._gone: OrderedDict[str, UpstreamRecord] = OrderedDict()
-        """The last records of upstreams that are gone, oldest first."""
+        """The last records of removed upstreams, oldest first."""
         self._distrusts_until = timedelta()
 
     def begin_return(self) -> None:
-        """Note that the store has come back from a copy, with older records.
+        """Note that the store was restored from a copy, so that records may be old.
 
-        Guards against a copy from before an upstream began to leave: by its old record
-        it would get new work again, until it writes the next one.
+        Guards against a copy made before an upstream started to drain: because of its
+        old record it would get new work until it writes its next one.
         """
         self._distrusts_until = self._clock.monotonic() + RETURN_GRACE
 
     def begin_grace(self) -> None:
-        """Note that the store answers again after an outage."""
+        """Start the grace period of upstreams: the store is back from an outage."""
         self._upstreams.begin_grace(self._clock.monotonic())
 
     def take(self, rows: Sequence[StoreRow], is_whole: bool) -> None:
-        """Take in rows: all there are, or those that have changed."""
+        """Apply rows of the store: with `is_whole` all of them, else changed ones."""
         now = self._clock.monotonic()
         records = []
         for row in rows:
@@ -74,12 +75,12 @@
                 self._note_gone(record)
 
     def expire(self) -> None:
-        """Drop the upstreams that did not come back after an outage of the store."""
+        """Remove the upstreams that did not return after an outage of the store."""
         for record in self._upstreams.expire(self._clock.monotonic()):
             self._note_gone(record)
 
     def _is_outdated(self, record: UpstreamRecord, now: timedelta) -> bool:
-        """Return whether a record of a copy tells less than is known."""
+        """Return whether a record of a restored store is older than the known one."""
         if now >= self._distrusts_until:
             return False
         listed = self._upstreams.get(record.id)
@@ -88,7 +89,7 @@
             return False
         if record.sequence != known.sequence:
             return record.sequence < known.sequence
-        # The same record once more: what is known besides it is newer.
+        # With equal sequence numbers, state learned from other sources is newer.
         return listed is None or (listed.draining and not record.draining)
 
     def _read(self, row: StoreRow) -> UpstreamRecord | None:
