--- a/packages/mustardquay-node/src/mustardquay_node/cache_surveys.py
+++ b/packages/mustardquay-node/src/mustardquay_node/cache_probes.py
@@ -18,38 +18,38 @@
 from .engine_calls import CallEngine, EngineCall
 from .loops import start_loop
 
-__all__ = ["CacheSurvey", "CacheSurveyParts"]
+__all__ = ["CacheProbe", "CacheProbeDependencies"]
 
-LOOK_INTERVAL = timedelta(milliseconds=200)
+CHECK_INTERVAL = timedelta(milliseconds=200)
 """Interval of checks for engines that have not been queried."""
-MOST_ENGINES = 64
+MAX_ENGINES = 64
 """Engines that one process queries at most: each call delays an engine's work a little,
 and in a large fleet every gateway would query every engine."""
 
 
 @dataclass(frozen=True, slots=True)
-class CacheSurveyParts:
+class CacheProbeDependencies:
     """Dependencies of a `CacheSurvey`."""
 
     adapter: Adapter
     events: EventRing
     list_upstreams: Callable[[], Sequence[UpstreamRecord]]
     call: CallEngine
-    take_held: Callable[[UpstreamRecord, Sequence[PromptPart]], None]
+    add_cached_parts: Callable[[UpstreamRecord, Sequence[PromptPart]], None]
     """Records the parts that an engine has cached."""
 
 
-class CacheSurvey:
+class CacheProbe:
     """Queries the cache of each engine once, when it is first listed."""
 
-    def __init__(self, parts: CacheSurveyParts):
-        self._parts = parts
-        self._asked: set[str] = set()
+    def __init__(self, deps: CacheProbeDependencies):
+        self._deps = deps
+        self._queried: set[str] = set()
         self._task: asyncio.Task[None] | None = None
 
     def start(self) -> None:
         """Start to check for new engines."""
-        self._task = start_loop(self._look, LOOK_INTERVAL)
+        self._task = start_loop(self._query_new_engines, CHECK_INTERVAL)
 
     async def close(self) -> None:
         """Stop and wait for the task to end."""
@@ -57,29 +57,29 @@
             self._task.cancel()
             await asyncio.gather(self._task, return_exceptions=True)
 
-    async def _look(self) -> None:
-        if len(self._asked) >= MOST_ENGINES:
+    async def _query_new_engines(self) -> None:
+        if len(self._queried) >= MAX_ENGINES:
             return
-        for engine in self._parts.list_upstreams():
-            if engine.stage is Stage.NONE or engine.id in self._asked:
+        for engine in self._deps.list_upstreams():
+            if engine.stage is Stage.NONE or engine.id in self._queried:
                 continue
-            self._asked.add(engine.id)
-            await self._ask(engine)
+            self._queried.add(engine.id)
+            await self._query(engine)
 
-    async def _ask(self, engine: UpstreamRecord) -> None:
-        parts = self._parts
-        call = EngineCall("GET", parts.adapter.CACHE_PATH)
-        exchange = await parts.call(engine, call)
+    async def _query(self, engine: UpstreamRecord) -> None:
+        deps = self._deps
+        call = EngineCall("GET", deps.adapter.CACHE_PATH)
+        exchange = await deps.call(engine, call)
         if exchange is None or exchange.head is None or exchange.head.status != 200:
-            parts.events.record("cache.unknown", upstream=engine.id)
+            deps.events.record("cache.unknown", upstream=engine.id)
             return
         try:
-            held = parts.adapter.read_cache(exchange.content)
+            cached = deps.adapter.read_cache(exchange.content)
         except ProtocolError as error:
-            parts.events.record("cache.unknown", upstream=engine.id, error=str(error))
+            deps.events.record("cache.unknown", upstream=engine.id, error=str(error))
             return
-        parts.take_held(engine, held)
-        tokens = sum(part.tokens for part in held)
-        parts.events.record(
-            "cache.listed", upstream=engine.id, parts=len(held), tokens=tokens
+        deps.add_cached_parts(engine, cached)
+        tokens = sum(part.tokens for part in cached)
+        deps.events.record(
+            "cache.listed", upstream=engine.id, parts=len(cached), tokens=tokens
         )
--- a/packages/mustardquay-node/src/mustardquay_node/configuration_intakes.py
+++ b/packages/mustardquay-node/src/mustardquay_node/configuration_loaders.py
@@ -12,10 +12,10 @@
 
 from .adapters import Adapter, StoreRow
 
-__all__ = ["ConfigurationIntake"]
+__all__ = ["ConfigurationLoader"]
 
 
-class ConfigurationIntake:
+class ConfigurationLoader:
     """Activates each newer configuration; the active version never decreases."""
 
     def __init__(
@@ -56,7 +56,7 @@
         """Return for how long a version newer than the active one has been known."""
         return self._versions.measure_lag(self._clock.monotonic())
 
-    def judge(self) -> TableState:
+    def find_state(self) -> TableState:
         """Return how far the active configuration may be relied on."""
         if not self._versions.is_behind:
             return TableState.CURRENT
@@ -64,7 +64,7 @@
         now = self._clock.monotonic()
         return self._versions.judge(others, self._get_bound(), now)
 
-    def hear(self, gateway: str, version: int) -> bool:
+    def note_peer_version(self, gateway: str, version: int) -> bool:
         """Note the version of another gateway and return whether it is newer."""
         if self._versions.hear(version, self._clock.monotonic()):
             self._events.record(
@@ -75,7 +75,7 @@
             )
         return version > self.version
 
-    def take(self, rows: Sequence[StoreRow], is_whole: bool) -> None:
+    def apply_rows(self, rows: Sequence[StoreRow], is_whole: bool) -> None:
         """Apply rows of the store: with `is_whole` all of them, else changed ones.
 
         Of several versions, only the newest one that can be decoded is activated, and
--- a/packages/mustardquay-node/src/mustardquay_node/crash_reporters.py
+++ b/packages/mustardquay-node/src/mustardquay_node/crash_reporters.py
@@ -20,13 +20,13 @@
 
 __all__ = ["CrashReporter"]
 
-CRASHES = 3
+CRASH_LIMIT = 3
 """Crashes, each of a different upstream or start of one, after which a request is
 refused. Two can involve an unrelated request by chance, as several requests are in
 flight at each crash."""
-SUSPICION = timedelta(minutes=2)
-REFUSAL = timedelta(minutes=5)
-NEWS_TIME = timedelta(seconds=1)
+SUSPICION_PERIOD = timedelta(minutes=2)
+QUARANTINE_PERIOD = timedelta(minutes=5)
+REPEAT_TIME = timedelta(seconds=1)
 """How long digests repeat a change: some 25 of them, of which a few may be lost."""
 RECORDS_LIMIT = 4
 """Records in one digest at most, to bound its size."""
@@ -39,12 +39,14 @@
         self._clock = clock
         self._events = events
         self._watch = CrashWatch()
-        self._quarantine = Quarantine(SUSPICION, REFUSAL, refused_after=CRASHES)
-        self._told: deque[tuple[timedelta, int]] = deque([(timedelta(), 0)])
+        self._quarantine = Quarantine(
+            SUSPICION_PERIOD, QUARANTINE_PERIOD, refused_after=CRASH_LIMIT
+        )
+        self._reported: deque[tuple[timedelta, int]] = deque([(timedelta(), 0)])
         self._version = 0
 
     @staticmethod
-    def take_fingerprint(method: str, path: str, body: bytes) -> int:
+    def compute_fingerprint(method: str, path: str, body: bytes) -> int:
         """Return a hash that identifies a request when it is sent again."""
         return xxh3_64_intdigest(
             body, seed=xxh3_64_intdigest(f"{method} {path}".encode())
@@ -55,7 +57,7 @@
         now = self._clock.monotonic()
         return self._quarantine.judge(fingerprint, now) is Standing.REFUSED
 
-    def note_broken(self, upstream: UpstreamRecord, fingerprint: int) -> None:
+    def note_broken_send(self, upstream: UpstreamRecord, fingerprint: int) -> None:
         """Note a send whose connection ended without a whole answer."""
         now = self._clock.monotonic()
         boot = str(upstream.started_ms)
@@ -65,28 +67,28 @@
         """Clear a request that an upstream has answered."""
         self._quarantine.note_answer(fingerprint, self._clock.monotonic())
 
-    def note_lost(self, upstream: str) -> None:
+    def note_upstream_lost(self, upstream: str) -> None:
         """Note that an upstream is unreachable, removed or restarted."""
         now = self._clock.monotonic()
-        accused = self._watch.note_lost(upstream, now)
-        if accused is None:
+        suspected = self._watch.note_lost(upstream, now)
+        if suspected is None:
             return
-        crash, fingerprints = accused
+        crash, fingerprints = suspected
         self._quarantine.note_crash(crash, fingerprints, now)
         self._events.record(
             "upstream.crashed", upstream=upstream, requests=len(fingerprints)
         )
 
-    def list_news(self) -> tuple[CrashRecord, ...]:
+    def list_changes(self) -> tuple[CrashRecord, ...]:
         """Return the changed records for the next digest."""
         now = self._clock.monotonic()
-        while len(self._told) > 1 and now - self._told[1][0] > NEWS_TIME:
-            self._told.popleft()
-        since = self._told[0][1]
+        while len(self._reported) > 1 and now - self._reported[1][0] > REPEAT_TIME:
+            self._reported.popleft()
+        since = self._reported[0][1]
         records, version = self._quarantine.list_changes(since, now, RECORDS_LIMIT)
         if version != self._version:
             self._version = version
-            self._told.append((now, version))
+            self._reported.append((now, version))
         return records
 
     def merge(self, records: Sequence[CrashRecord]) -> None:
--- a/packages/mustardquay-node/src/mustardquay_node/digests.py
+++ b/packages/mustardquay-node/src/mustardquay_node/digest_exchanges.py
@@ -7,16 +7,16 @@
 from mustardquay.peer_books import PeerDigest
 from mustardquay.rate_limits import LimitBook
 
-from .configuration_intakes import ConfigurationIntake
+from .configuration_loaders import ConfigurationLoader
 from .crash_reporters import CrashReporter
 from .gateway_stops import GatewayStop
-from .generators import GenerationPlanner
+from .generation_planners import GenerationPlanner
 
-__all__ = ["DigestBook", "DigestParts"]
+__all__ = ["DigestExchange", "DigestDependencies"]
 
 
 @dataclass(frozen=True, slots=True)
-class DigestParts:
+class DigestDependencies:
     """Components whose state digests carry, and which apply received digests."""
 
     name: str
@@ -26,18 +26,18 @@
     stop: GatewayStop
     crashes: CrashReporter
     limits: LimitBook
-    configurations: ConfigurationIntake
+    configurations: ConfigurationLoader
     is_ready: Callable[[], bool]
     fetch_configuration: Callable[[], None]
     """Starts a read of the configuration, as a newer one is known to exist."""
 
 
-class DigestBook:
+class DigestExchange:
     """Builds the numbered digests of one gateway and applies those of others."""
 
-    def __init__(self, parts: DigestParts):
-        self._parts = parts
-        self._incarnation = int(parts.clock.now().timestamp() * 1_000_000)
+    def __init__(self, deps: DigestDependencies):
+        self._deps = deps
+        self._incarnation = int(deps.clock.now().timestamp() * 1_000_000)
         self._number = 0
 
     @property
@@ -47,45 +47,45 @@
 
     def build(self) -> PeerDigest:
         """Return the next digest for the other gateways."""
-        parts = self._parts
-        now = parts.clock.monotonic()
+        deps = self._deps
+        now = deps.clock.monotonic()
         self._number += 1
-        digest = parts.planner.build_digest(
-            parts.name, self._incarnation, self._number, parts.configurations.version
+        digest = deps.planner.build_digest(
+            deps.name, self._incarnation, self._number, deps.configurations.version
         )
-        knows_limits = parts.limits.knows_any(now)
+        knows_limits = deps.limits.knows_any(now)
         return replace(
             digest,
-            crashes=parts.crashes.list_news(),
-            availability_zone=parts.availability_zone,
-            is_ready=parts.is_ready(),
-            limits=parts.limits.tell(now),
-            demands=parts.limits.demand.tell(now) if knows_limits else None,
-            ends_in=parts.stop.ends_in,
+            crashes=deps.crashes.list_changes(),
+            availability_zone=deps.availability_zone,
+            is_ready=deps.is_ready(),
+            limits=deps.limits.tell(now),
+            demands=deps.limits.demand.tell(now) if knows_limits else None,
+            ends_in=deps.stop.ends_in,
         )
 
-    def hear(self, digest: PeerDigest) -> None:
+    def apply_digest(self, digest: PeerDigest) -> None:
         """Apply a received digest; fetch the configuration if the sender's is newer.
 
         Guards against a connection to the store that stopped responding: otherwise the
         configuration would be read only after the call on it has timed out.
         """
-        parts = self._parts
-        parts.planner.hear(digest)
-        parts.stop.hear(digest)
-        parts.crashes.merge(digest.crashes)
+        deps = self._deps
+        deps.planner.apply_digest(digest)
+        deps.stop.hear(digest)
+        deps.crashes.merge(digest.crashes)
         self._hear_limits(digest)
-        if parts.configurations.hear(digest.gateway, digest.configuration):
-            parts.fetch_configuration()
+        if deps.configurations.note_peer_version(digest.gateway, digest.configuration):
+            deps.fetch_configuration()
 
     def note_listed(self, told: Collection[str], others: int) -> None:
         """Note the gateways that send digests here, and the number of the others."""
-        now = self._parts.clock.monotonic()
-        self._parts.limits.demand.list_gateways(told, others, now)
-        self._parts.planner.note_listed(len(told), others)
+        now = self._deps.clock.monotonic()
+        self._deps.limits.demand.list_gateways(told, others, now)
+        self._deps.planner.note_listed(len(told), others)
 
     def _hear_limits(self, digest: PeerDigest) -> None:
-        now = self._parts.clock.monotonic()
-        self._parts.limits.demand.hear(digest.gateway, digest.demands, now)
+        now = self._deps.clock.monotonic()
+        self._deps.limits.demand.hear(digest.gateway, digest.demands, now)
         for notice in digest.limits:
-            self._parts.limits.hear_notice(notice, now)
+            self._deps.limits.hear_notice(notice, now)
--- a/packages/mustardquay-node/src/mustardquay_node/digest_frames.py
+++ b/packages/mustardquay-node/src/mustardquay_node/digest_frames.py
@@ -23,18 +23,18 @@
 __all__ = ["decode_digest", "encode_digest"]
 
 capnp.remove_import_hook()
-WIRE = capnp.load(str(Path(__file__).with_name("peers.capnp")))
+SCHEMA = capnp.load(str(Path(__file__).with_name("peers.capnp")))
 
 LAYOUT = 2
 """Version of the datagram layout. During an upgrade, gateways with different layouts
 ignore each other's digests."""
-MOST_MICROSECONDS = 2**32 - 1
-MOST_RUNNING = 2**16 - 1
+MAX_MICROSECONDS = 2**32 - 1
+MAX_RUNNING = 2**16 - 1
 
 
 def encode_digest(digest: PeerDigest) -> bytes:
     """Return the datagram of a digest."""
-    message = WIRE.Digest.new_message()
+    message = SCHEMA.Digest.new_message()
     message.layout = LAYOUT
     message.gateway = digest.gateway
     message.incarnation = digest.incarnation
@@ -53,7 +53,7 @@
 def decode_digest(data: bytes) -> PeerDigest | None:
     """Return the digest of a datagram, or None if it can't be decoded."""
     try:
-        message = WIRE.Digest.from_bytes_packed(data)
+        message = SCHEMA.Digest.from_bytes_packed(data)
         if message.layout != LAYOUT:
             return None
         engines = _read_work(message)
@@ -91,13 +91,13 @@
     message.readMicroseconds = [
         _to_microseconds(each, rank) for each in engines for rank in ranks
     ]
-    message.running = [min(each.running, MOST_RUNNING) for each in engines]
+    message.running = [min(each.running, MAX_RUNNING) for each in engines]
 
 
 def _to_microseconds(work: EngineDigest, rank: int) -> int:
     if rank >= len(work.read_seconds):
         return 0
-    return min(int(work.read_seconds[rank] * MICROSECONDS), MOST_MICROSECONDS)
+    return min(int(work.read_seconds[rank] * MICROSECONDS), MAX_MICROSECONDS)
 
 
 def _read_work(message: Any) -> tuple[EngineDigest, ...]:
--- a/packages/mustardquay-node/src/mustardquay_node/early_reloads.py
+++ b/packages/mustardquay-node/src/mustardquay_node/early_reloads.py
@@ -2,20 +2,20 @@
 
 import signal
 
-__all__ = ["note_early_reloads", "was_told_early"]
+__all__ = ["record_early_reloads", "was_reload_requested"]
 
-_told: list[int] = []
+_signals: list[int] = []
 
 
-def note_early_reloads() -> None:
+def record_early_reloads() -> None:
     """Record SIGHUP from now on.
 
     Guards against a reload request during the imports, which take over half a second:
     without a handler, the signal terminates the process.
     """
-    signal.signal(signal.SIGHUP, lambda number, frame: _told.append(number))
+    signal.signal(signal.SIGHUP, lambda number, frame: _signals.append(number))
 
 
-def was_told_early() -> bool:
+def was_reload_requested() -> bool:
     """Return whether a reload was requested during the start."""
-    return bool(_told)
+    return bool(_signals)
--- a/packages/mustardquay-node/src/mustardquay_node/forwarder_parts.py
+++ b/packages/mustardquay-node/src/mustardquay_node/forwarder_parts.py
@@ -21,7 +21,7 @@
 from .connections import Exchange
 from .crash_reporters import CrashReporter
 from .gateway_stops import GatewayStop
-from .generators import GenerationPlanner, KeptReading
+from .generation_planners import GenerationPlanner, RetainedPrefill
 from .upstream_pools import UpstreamPools
 
 __all__ = ["ForwardedRequest", "ForwarderParts"]
@@ -50,7 +50,7 @@
     """Counts an answer by route and outcome."""
     count_send: Callable[[str, str], None] = lambda route, end: None
     """Counts a send by route and by how it ended."""
-    count_unused_reading: Callable[[str], None] = lambda reason: None
+    count_unused_prefill: Callable[[str], None] = lambda reason: None
     """Counts a prompt that was read and nothing generated from, by the reason."""
     record_first_byte: Callable[[str, timedelta], None] = lambda route, duration: None
 
@@ -83,7 +83,7 @@
     """Whether a generation can't be in time, so that others go first."""
     expected: timedelta | None = None
     """When a generation that was admitted as in time was to be read, from then on."""
-    reading: KeptReading | None = None
+    reading: RetainedPrefill | None = None
     """What has been read for it by another engine than the one that generates."""
     last_event: str | None = None
     """The last whole event that the caller has been sent."""
--- a/packages/mustardquay-node/src/mustardquay_node/forwardings.py
+++ b/packages/mustardquay-node/src/mustardquay_node/forwardings.py
@@ -126,7 +126,7 @@
         route,
         service,
         limit_at=incoming.received_at + allowed,
-        fingerprint=parts.crashes.take_fingerprint(
+        fingerprint=parts.crashes.compute_fingerprint(
             incoming.method, incoming.path, incoming.body
         ),
         last_event=facts.resumes_after,
@@ -342,7 +342,7 @@
         if request.reading is None:
             return ReadingState.NONE
         engines = parts.upstreams.list_usable(request.service)
-        loss = parts.planner.find_loss(request.reading, engines, request.avoid)
+        loss = parts.planner.find_prefill_loss(request.reading, engines, request.avoid)
         return ReadingState.KEPT if loss is None else ReadingState.LOST
 
     def _replace_step(self, send: Send) -> NextStep:
--- a/packages/mustardquay-node/src/mustardquay_node/gateway_feeds.py
+++ b/packages/mustardquay-node/src/mustardquay_node/gateway_feeds.py
@@ -9,18 +9,18 @@
 from mustardquay.events import EventRing
 
 from .adapters import Adapter, StoreRow, StoreTables
-from .configuration_intakes import ConfigurationIntake
+from .configuration_loaders import ConfigurationLoader
 from .feeds import FeedListener, FeedOptions, TableFeed
 from .peers import PEERS_TABLE
 from .settings import StoreSettings
-from .upstream_intakes import UpstreamIntake
+from .upstream_list_updaters import UpstreamListUpdater
 
-__all__ = ["FeedParts", "GatewayFeeds"]
+__all__ = ["FeedDependencies", "GatewayFeeds"]
 
-CONFIGURATION_PACE = timedelta(milliseconds=20)
+CONFIGURATION_PAUSE = timedelta(milliseconds=20)
 """Pause after each read, so that one read returns several configurations when they
 change rapidly."""
-UPSTREAMS_PACE_SHARE = 0.25
+UPSTREAMS_PAUSE_SHARE = 0.25
 """Pause between reads, as a share of the time in which a leaving upstream must be
 noticed: the list changes with each heartbeat, and each read is a call to the store."""
 UPSTREAMS_WAIT_SHARE = 0.5
@@ -28,11 +28,11 @@
 PEERS_WAIT = timedelta(seconds=20)
 """Long, as the list of gateways seldom changes and missing digests reveal a gateway
 that stopped."""
-PEERS_PACE = timedelta(seconds=1)
+PEERS_PAUSE = timedelta(seconds=1)
 
 
 @dataclass(frozen=True, slots=True)
-class FeedParts:
+class FeedDependencies:
     """The store, and the components that its rows are passed to."""
 
     adapter: Adapter
@@ -41,16 +41,16 @@
     clock: Clock
     random: Random
     events: EventRing
-    configurations: ConfigurationIntake
-    upstreams: UpstreamIntake
+    configurations: ConfigurationLoader
+    upstreams: UpstreamListUpdater
     take_peers: Callable[[Sequence[StoreRow], bool], None]
 
 
 class GatewayFeeds:
     """Follows the tables of configurations, upstreams and gateways."""
 
-    def __init__(self, parts: FeedParts):
-        self._parts = parts
+    def __init__(self, deps: FeedDependencies):
+        self._deps = deps
         self._configuration = self._follow_configuration()
         self._feeds = (
             self._configuration,
@@ -64,7 +64,7 @@
         answers = [feed.answered_at for feed in self._feeds if feed.answered_at]
         if not answers:
             return None
-        return self._parts.clock.monotonic() - max(answers)
+        return self._deps.clock.monotonic() - max(answers)
 
     def start(self) -> None:
         """Start to follow the tables."""
@@ -86,32 +86,34 @@
         self._configuration.wake()
 
     def _follow_configuration(self) -> TableFeed:
-        parts = self._parts
+        deps = self._deps
         options = FeedOptions(
-            parts.adapter.CONFIGURATION_TABLE,
-            parts.settings.configuration_wait,
-            CONFIGURATION_PACE,
+            deps.adapter.CONFIGURATION_TABLE,
+            deps.settings.configuration_wait,
+            CONFIGURATION_PAUSE,
         )
-        return self._make_feed(options, FeedListener(parts.configurations.take))
+        return self._make_feed(options, FeedListener(deps.configurations.apply_rows))
 
     def _follow_peers(self) -> TableFeed:
-        options = FeedOptions(PEERS_TABLE, PEERS_WAIT, PEERS_PACE)
-        return self._make_feed(options, FeedListener(self._parts.take_peers))
+        options = FeedOptions(PEERS_TABLE, PEERS_WAIT, PEERS_PAUSE)
+        return self._make_feed(options, FeedListener(self._deps.take_peers))
 
     def _follow_upstreams(self) -> TableFeed:
-        parts = self._parts
-        delay = parts.settings.upstreams_delay
+        deps = self._deps
+        delay = deps.settings.upstreams_delay
         options = FeedOptions(
-            parts.adapter.UPSTREAMS_TABLE,
-            min(parts.settings.configuration_wait, UPSTREAMS_WAIT_SHARE * delay),
-            UPSTREAMS_PACE_SHARE * delay,
+            deps.adapter.UPSTREAMS_TABLE,
+            min(deps.settings.configuration_wait, UPSTREAMS_WAIT_SHARE * delay),
+            UPSTREAMS_PAUSE_SHARE * delay,
+        )
+        updater = deps.upstreams
+        listener = FeedListener(
+            updater.apply_rows, updater.begin_grace, updater.begin_restore
         )
-        intake = parts.upstreams
-        listener = FeedListener(intake.take, intake.begin_grace, intake.begin_return)
         return self._make_feed(options, listener)
 
     def _make_feed(self, options: FeedOptions, listener: FeedListener) -> TableFeed:
-        parts = self._parts
+        deps = self._deps
         return TableFeed(
-            parts.store, options, listener, parts.events, parts.clock, parts.random
+            deps.store, options, listener, deps.events, deps.clock, deps.random
         )
--- a/packages/mustardquay-node/src/mustardquay_node/gateway_metrics.py
+++ b/packages/mustardquay-node/src/mustardquay_node/gateway_metrics.py
@@ -42,7 +42,7 @@
     def __init__(self, process: str, availability_zone: str):
         self._answers: Counter[tuple[str, str]] = Counter()
         self._sends: Counter[tuple[str, str]] = Counter()
-        self._unused_readings: Counter[tuple[str]] = Counter()
+        self._unused_prefills: Counter[tuple[str]] = Counter()
         self._first_byte = Histogram(
             "mustardquay.first_byte",
             "s",
@@ -73,7 +73,7 @@
         self._page.add_counter(
             "mustardquay.readings.unused",
             "Prompts that were prefilled but never generated from, by reason.",
-            self._unused_readings,
+            self._unused_prefills,
             "mustardquay.reason",
         )
         for name, definition in GAUGES.items():
@@ -91,9 +91,9 @@
         """Count the end of a send to an upstream."""
         self._sends[route, end] += 1
 
-    def count_unused_reading(self, reason: str) -> None:
+    def count_unused_prefill(self, reason: str) -> None:
         """Count a prompt that was prefilled but never generated from."""
-        self._unused_readings[(reason,)] += 1
+        self._unused_prefills[(reason,)] += 1
 
     def record_first_byte(self, route: str, duration: timedelta) -> None:
         """Record the time from a request's arrival to its answer's first byte."""
--- a/packages/mustardquay-node/src/mustardquay_node/gateway_upstreams.py
+++ b/packages/mustardquay-node/src/mustardquay_node/gateway_upstreams.py
@@ -19,7 +19,7 @@
 from .crash_reporters import CrashReporter
 from .descriptors import DescriptorGuard
 from .engine_calls import EngineCall, call_engine
-from .generators import GenerationPlanner
+from .generation_planners import GenerationPlanner
 from .settings import BoundsSettings, GatewaySettings
 from .upstream_pools import UpstreamPools
 
@@ -111,7 +111,7 @@
 
     def forget(self, id: str) -> None:
         """Drop what is kept of an upstream that is gone or has started anew."""
-        self.crashes.note_lost(id)
+        self.crashes.note_upstream_lost(id)
         self.pools.forget(id)
         self.loads.forget(id)
         self.limits.forget(id)
@@ -123,7 +123,7 @@
 
     def _note_unreachable(self, id: str) -> None:
         self.loads.note_unreachable(id, self._now)
-        self.crashes.note_lost(id)
+        self.crashes.note_upstream_lost(id)
 
     def _find_connection_limit(self, service: str) -> int | None:
         table = self._parts.find_table()
--- a/packages/mustardquay-node/src/mustardquay_node/gateways.py
+++ b/packages/mustardquay-node/src/mustardquay_node/gateways.py
@@ -19,14 +19,14 @@
 from mustardquay.version_books import TableState
 
 from .adapters import Adapter, load_adapter
-from .cache_surveys import CacheSurvey, CacheSurveyParts
+from .cache_probes import CacheProbe, CacheProbeDependencies
 from .caller_connections import CallerConnections, ConnectionOptions
-from .configuration_intakes import ConfigurationIntake
-from .digests import DigestBook, DigestParts
+from .configuration_loaders import ConfigurationLoader
+from .digest_exchanges import DigestDependencies, DigestExchange
 from .era_watches import EraWatch
 from .forwarder_parts import ForwarderParts
 from .forwarders import Forwarder
-from .gateway_feeds import FeedParts, GatewayFeeds
+from .gateway_feeds import FeedDependencies, GatewayFeeds
 from .gateway_metrics import GatewayMetrics
 from .gateway_servers import GatewayServers
 from .gateway_stops import GatewayStop, StopParts
@@ -35,14 +35,14 @@
 from .seeds import make_seed
 from .settings import GatewaySettings
 from .settings_watches import SettingsWatch
-from .stage_keepers import StageKeeper, StageKeeperParts
-from .upstream_intakes import UpstreamIntake
+from .stage_controllers import StageController, StageControllerDependencies
+from .upstream_list_updaters import UpstreamListUpdater
 
 __all__ = ["Gateway"]
 
-SETTLE_LIMIT = timedelta(milliseconds=200)
+DRAIN_LIMIT = timedelta(milliseconds=200)
 """How long a stopped gateway waits for requests that are only partly received."""
-TICK = timedelta(milliseconds=500)
+CHECK_INTERVAL = timedelta(milliseconds=500)
 """Interval of periodic checks: expired upstreams, settings files and readiness."""
 
 
@@ -69,12 +69,12 @@
         self._metrics = GatewayMetrics(node.name, node.availability_zone)
         self._upstreams = self._make_upstreams()
         self._stop = self._make_stop()
-        self._forwarder = Forwarder(self._make_parts())
+        self._forwarder = Forwarder(self._make_forwarder_dependencies())
         self._eras = EraWatch(self._events)
         self._store = self._adapter.open_store(
             settings.store.address, self._clock, self._eras
         )
-        self._intake = UpstreamIntake(
+        self._list_updater = UpstreamListUpdater(
             self._adapter,
             self._upstreams.list,
             self._events,
@@ -82,27 +82,27 @@
             self._upstreams.forget,
             self._note_leaving,
         )
-        self._configurations = ConfigurationIntake(
+        self._configurations = ConfigurationLoader(
             self._adapter,
             self._events,
             self._clock,
-            self._put_table,
+            self._activate_table,
             self._upstreams.planner.list_configurations,
             lambda: self._settings.bounds.configuration_delay,
         )
-        self._digests = self._make_digests()
+        self._digest_exchange = self._make_digest_exchange()
         self._peers = self._make_peers()
-        self._keeper = self._make_keeper()
-        self._survey = self._make_survey()
+        self._stage_controller = self._make_stage_controller()
+        self._cache_probe = self._make_cache_probe()
         self._feeds = self._make_feeds()
-        for each in (self._keeper, self._feeds, self._peers):
+        for each in (self._stage_controller, self._feeds, self._peers):
             self._eras.listen(each.note_era)
         self._connections = CallerConnections(
             ConnectionOptions(self._clock, self._get_limits, self._forwarder.handle)
         )
         self._servers = GatewayServers(self._upstreams.make_room)
-        self._ticker: asyncio.Task[None] | None = None
-        self._closing: asyncio.Task[None] | None = None
+        self._check_task: asyncio.Task[None] | None = None
+        self._close_task: asyncio.Task[None] | None = None
         self._address = settings.gateway.listen
         self._was_ready = False
         self._watch = SettingsWatch(files, settings, self._events, self._take_settings)
@@ -114,7 +114,7 @@
             not self._stop.has_begun
             and self._forwarder.table is not None
             and self._upstreams.list.is_known
-            and self._configurations.judge() is not TableState.OUTDATED
+            and self._configurations.find_state() is not TableState.OUTDATED
         )
 
     @property
@@ -151,9 +151,9 @@
             self._servers.serve_metrics(address, self._metrics.render)
         await self._peers.start()
         self._feeds.start()
-        self._keeper.start()
-        self._survey.start()
-        self._ticker = asyncio.create_task(self._tick_forever())
+        self._stage_controller.start()
+        self._cache_probe.start()
+        self._check_task = asyncio.create_task(self._check_forever())
         self._events.record("process.started", kind_of_process="gateway")
         self._warn_of_short_drain()
 
@@ -173,9 +173,9 @@
 
         Idempotent: further calls wait for the shutdown in progress.
         """
-        if self._closing is None:
-            self._closing = asyncio.create_task(self._close())
-        await asyncio.shield(self._closing)
+        if self._close_task is None:
+            self._close_task = asyncio.create_task(self._close())
+        await asyncio.shield(self._close_task)
 
     async def _close(self) -> None:
         await self._stop.run(self._settings.gateway.drain_timeout)
@@ -184,11 +184,11 @@
         # Must precede every step that waits for the store, and the closing of caller
         # connections, which would be taken for callers that disconnected.
         await self._forwarder.close()
-        await self._connections.settle(SETTLE_LIMIT)
-        if self._ticker is not None:
-            self._ticker.cancel()
-        await self._keeper.close()
-        await self._survey.close()
+        await self._connections.settle(DRAIN_LIMIT)
+        if self._check_task is not None:
+            self._check_task.cancel()
+        await self._stage_controller.close()
+        await self._cache_probe.close()
         await self._feeds.close()
         await self._peers.close()
         await self._servers.close()
@@ -211,7 +211,7 @@
         self._upstreams.take_bounds(settings.bounds)
 
     def _make_upstreams(self) -> GatewayUpstreams:
-        parts = UpstreamParts(
+        deps = UpstreamParts(
             adapter=self._adapter,
             clock=self._clock,
             random=self._random,
@@ -221,24 +221,24 @@
             note_change=lambda: self._peers.note_change(),
             close_idle_callers=lambda: self._connections.close_idle(),
         )
-        return GatewayUpstreams(self._settings, parts)
+        return GatewayUpstreams(self._settings, deps)
 
     def _make_stop(self) -> GatewayStop:
         node = self._settings.node
-        parts = StopParts(
+        deps = StopParts(
             name=node.name,
             availability_zone=node.availability_zone,
             clock=self._clock,
             random=self._random,
             events=self._events,
             count_in_flight=lambda: self._forwarder.in_flight,
-            tell_peers=lambda: self._peers.hurry(),
+            tell_peers=lambda: self._peers.send_now(),
             end_keep_alive=self._end_keep_alive,
             close_idle=lambda: self._connections.close_idle(),
         )
-        return GatewayStop(parts)
+        return GatewayStop(deps)
 
-    def _make_parts(self) -> ForwarderParts:
+    def _make_forwarder_dependencies(self) -> ForwarderParts:
         return ForwarderParts(
             adapter=self._adapter,
             clock=self._clock,
@@ -252,15 +252,15 @@
             crashes=self._upstreams.crashes,
             planner=self._upstreams.planner,
             stop=self._stop,
-            judge_table=lambda: self._configurations.judge(),
+            judge_table=lambda: self._configurations.find_state(),
             count_answer=self._metrics.count_answer,
             count_send=self._metrics.count_send,
-            count_unused_reading=self._metrics.count_unused_reading,
+            count_unused_prefill=self._metrics.count_unused_prefill,
             record_first_byte=self._metrics.record_first_byte,
         )
 
     def _make_feeds(self) -> GatewayFeeds:
-        parts = FeedParts(
+        deps = FeedDependencies(
             adapter=self._adapter,
             store=self._store,
             settings=self._settings.store,
@@ -268,10 +268,10 @@
             random=self._random,
             events=self._events,
             configurations=self._configurations,
-            upstreams=self._intake,
+            upstreams=self._list_updater,
             take_peers=self._peers.take_rows,
         )
-        return GatewayFeeds(parts)
+        return GatewayFeeds(deps)
 
     def _make_gauges(self) -> dict[str, Callable[[], float]]:
         return {
@@ -294,9 +294,9 @@
         age = self._feeds.age
         return float("inf") if age is None else age.total_seconds()
 
-    def _make_digests(self) -> DigestBook:
+    def _make_digest_exchange(self) -> DigestExchange:
         node = self._settings.node
-        parts = DigestParts(
+        deps = DigestDependencies(
             name=node.name,
             availability_zone=node.availability_zone,
             clock=self._clock,
@@ -308,7 +308,7 @@
             is_ready=lambda: self.is_ready,
             fetch_configuration=lambda: self._feeds.fetch_configuration(),
         )
-        return DigestBook(parts)
+        return DigestExchange(deps)
 
     def _make_peers(self) -> PeerLink:
         node, gateway = self._settings.node, self._settings.gateway
@@ -318,14 +318,14 @@
             self._store,
             self._clock,
             self._events,
-            self._digests.build,
-            self._digests.hear,
-            self._digests.note_listed,
+            self._digest_exchange.build,
+            self._digest_exchange.apply_digest,
+            self._digest_exchange.note_listed,
             self._random,
         )
 
-    def _make_keeper(self) -> StageKeeper:
-        parts = StageKeeperParts(
+    def _make_stage_controller(self) -> StageController:
+        deps = StageControllerDependencies(
             adapter=self._adapter,
             store=self._store,
             clock=SuspendClock(),
@@ -337,25 +337,25 @@
             call=self._upstreams.call_engine,
             count_streams=self._upstreams.planner.count_streams,
             measure_capacities=self._upstreams.measure_capacities,
-            tell_changing=self._tell_changing,
+            announce_changing=self._announce_changing,
             is_serving=lambda: self._forwarder.has_served,
         )
-        holder = f"{self._settings.node.name}-{self._digests.incarnation}"
-        return StageKeeper(holder, parts)
+        holder = f"{self._settings.node.name}-{self._digest_exchange.incarnation}"
+        return StageController(holder, deps)
 
-    def _make_survey(self) -> CacheSurvey:
-        parts = CacheSurveyParts(
+    def _make_cache_probe(self) -> CacheProbe:
+        deps = CacheProbeDependencies(
             adapter=self._adapter,
             events=self._events,
             list_upstreams=self.list_upstreams,
             call=self._upstreams.call_engine,
-            take_held=self._upstreams.planner.take_held,
+            add_cached_parts=self._upstreams.planner.add_cached_parts,
         )
-        return CacheSurvey(parts)
+        return CacheProbe(deps)
 
-    def _tell_changing(self, engines: Collection[str]) -> None:
-        self._upstreams.planner.tell_changing(engines)
-        self._peers.hurry()
+    def _announce_changing(self, engines: Collection[str]) -> None:
+        self._upstreams.planner.set_changing(engines)
+        self._peers.send_now()
 
     def _list_engine_services(self) -> list[str]:
         table = self._forwarder.table
@@ -363,12 +363,12 @@
             return []
         return [name for name, each in table.services.items() if each.engine]
 
-    def _put_table(self, table: RoutingTable) -> None:
+    def _activate_table(self, table: RoutingTable) -> None:
         self._forwarder.put_table(table)
         # The digest shows the other gateways that a newer version can be fetched.
-        self._peers.hurry()
+        self._peers.send_now()
         self._servers.apply_limits(table.limits)
-        self._upstreams.planner.take_table(table)
+        self._upstreams.planner.apply_table(table)
 
     def _get_limits(self) -> CallerLimits:
         table = self._forwarder.table
@@ -376,16 +376,16 @@
 
     def _note_leaving(self, record: UpstreamRecord) -> None:
         if record.stage is Stage.DECODE:
-            self._keeper.hurry()
+            self._stage_controller.check_now()
 
     def _end_keep_alive(self) -> None:
         self._servers.end_connections()
         self._connections.end_keep_alive()
 
-    async def _tick_forever(self) -> None:
+    async def _check_forever(self) -> None:
         while True:
-            await asyncio.sleep(TICK.total_seconds())
-            self._intake.expire()
+            await asyncio.sleep(CHECK_INTERVAL.total_seconds())
+            self._list_updater.expire()
             self._watch.look()
             if self.is_ready != self._was_ready:
                 self._was_ready = self.is_ready
--- a/packages/mustardquay-node/src/mustardquay_node/generators.py
+++ b/packages/mustardquay-node/src/mustardquay_node/generation_planners.py
@@ -1,7 +1,7 @@
 """Placement of generations, based on the work outstanding at each engine.
 
-Reading a prompt is its prefill; the engine that does it is the reader. The engine that
-generates is the decoder, and may be the same one.
+The reader is the engine that prefills a prompt, the decoder the one that generates from
+it; they may be the same engine.
 """
 
 from collections.abc import Callable, Collection, Iterable, Sequence
@@ -31,9 +31,9 @@
 from mustardquay.upstream_loads import LoadBook
 
 from .adapters import Prefilled
-from .peers import PARTS_LIMIT
+from .peers import MAX_PLACED_PARTS
 
-__all__ = ["GenerationPlanner", "KeptReading", "Ticket"]
+__all__ = ["GenerationPlanner", "RetainedPrefill", "Ticket"]
 
 
 @dataclass(slots=True)
@@ -43,16 +43,16 @@
     placement: Placement
     parts: tuple[HashedPart, ...]
     rank: int = 0
-    is_read: bool = False
+    is_prefilled: bool = False
     is_running: bool = False
     """Whether it occupies a slot of the decoder."""
-    reader_turn: Turn | None = None
-    decoder_turn: Turn | None = None
+    reader_reservation: Turn | None = None
+    decoder_reservation: Turn | None = None
     """Set if the decoder is not the reader."""
 
 
 @dataclass(slots=True)
-class KeptReading:
+class RetainedPrefill:
     """A prompt that an engine has prefilled, kept until its request has ended."""
 
     ticket: Ticket
@@ -105,12 +105,12 @@
     ) -> Placement | None:
         """Return the best placement now for a generation whose body has `size` bytes.
 
-        Engines read it before all prompts of a higher `rank`.
+        Engines prefill it before all prompts of a higher `rank`.
         """
         now = self._clock.monotonic()
         self._books.works.peers.expire(now)
         parts = hash_parts(prompt.parts)
-        engines = self._drop_changing(engines)
+        engines = self._exclude_changing(engines)
         sending = self._uplink.measure(size, now)
         return choose_engines(
             prompt,
@@ -124,28 +124,28 @@
             self._sample,
         )
 
-    def renew_decoder(
+    def reselect_decoder(
         self, ticket: Ticket, engines: Sequence[UpstreamRecord], avoid: Collection[str]
     ) -> bool:
-        """Choose the decoder again after the prompt has been read.
+        """Choose the decoder again after the prompt has been prefilled.
 
         Guards against a decoder that started to drain or to change its stage while the
         prompt was queued: it would get a new request although the gateways have been
         notified. Returns False if no decoder is available.
         """
         now = self._clock.monotonic()
-        usable = self._drop_changing(engines)
+        usable = self._exclude_changing(engines)
         decoder = choose_decoder(usable, self._books, now, avoid)
         if decoder is None:
             return False
         if decoder.id != ticket.placement.decoder.id:
-            if ticket.decoder_turn is not None:
-                self._limits.release(ticket.decoder_turn)
-            ticket.decoder_turn = self._limits.reserve(decoder, now)
+            if ticket.decoder_reservation is not None:
+                self._limits.release(ticket.decoder_reservation)
+            ticket.decoder_reservation = self._limits.reserve(decoder, now)
         ticket.placement = replace(ticket.placement, decoder=decoder)
         return True
 
-    def _drop_changing(
+    def _exclude_changing(
         self, engines: Sequence[UpstreamRecord]
     ) -> Sequence[UpstreamRecord]:
         changing = self._changing | self._books.works.peers.list_changing()
@@ -162,118 +162,122 @@
         sends = 1 if placement.prefiller is None else 2
         self._uplink.take(size * sends, self._clock.monotonic())
         reader = placement.reader.id
-        self._add_reading(reader, placement.read_seconds, rank)
+        self._add_prefill_work(reader, placement.read_seconds, rank)
         self._models.note_placed(placement.reader.service, placement.read_seconds)
         parts = hash_parts(prompt.parts)
-        # Before the parts are read, so that the next prompts with them go there too.
-        self._note_parts(placement.reader, parts)
+        # Before the prefill has ended, so that the next prompts with them go there too.
+        self._note_placed_parts(placement.reader, parts)
         ticket = Ticket(placement, parts, rank)
-        self._reserve_turns(ticket)
+        self._reserve_sends(ticket)
         if placement.prefiller is None:
-            self._take_place(ticket)
+            self._occupy_slot(ticket)
         return ticket
 
-    def _reserve_turns(self, ticket: Ticket) -> None:
+    def _reserve_sends(self, ticket: Ticket) -> None:
         now = self._clock.monotonic()
         placement = ticket.placement
-        ticket.reader_turn = self._limits.reserve(placement.reader, now)
+        ticket.reader_reservation = self._limits.reserve(placement.reader, now)
         if placement.prefiller is not None:
-            ticket.decoder_turn = self._limits.reserve(placement.decoder, now)
+            ticket.decoder_reservation = self._limits.reserve(placement.decoder, now)
 
-    def end_reading(self, ticket: Ticket, is_handed_over: bool = False) -> None:
-        """Note that the prompt has been read, or never will be.
+    def end_prefill(self, ticket: Ticket, is_handed_over: bool = False) -> None:
+        """Note that the prompt has been prefilled, or never will be.
 
         With `is_handed_over`, the decoder copies it from the reader.
         """
-        if ticket.is_read:
+        if ticket.is_prefilled:
             return
-        ticket.is_read = True
+        ticket.is_prefilled = True
         placement = ticket.placement
-        self._add_reading(placement.reader.id, -placement.read_seconds, ticket.rank)
+        self._add_prefill_work(
+            placement.reader.id, -placement.read_seconds, ticket.rank
+        )
         if is_handed_over:
-            self._note_copied(ticket)
+            self._note_copying(ticket)
 
-    def find_loss(
+    def find_prefill_loss(
         self,
-        reading: KeptReading,
+        prefill: RetainedPrefill,
         engines: Sequence[UpstreamRecord],
         avoid: Collection[str],
     ) -> ReadingLoss | None:
-        """Return why no other engine can generate from a reading; None if one can."""
+        """Return why no other engine can use a retained prefill, None if one can."""
         now = self._clock.monotonic()
-        ticket = reading.ticket
+        ticket = prefill.ticket
         return find_loss(
             ticket.placement.reader,
             ticket.parts,
-            self.must_copy(reading),
-            self._drop_changing(engines),
+            self.must_copy_from_cache(prefill),
+            self._exclude_changing(engines),
             self._books,
             now,
             avoid,
         )
 
-    def must_copy(self, reading: KeptReading) -> bool:
+    def must_copy_from_cache(self, prefill: RetainedPrefill) -> bool:
         """Return whether a prompt can only be copied from its reader's cache.
 
         That is so if its handle may have been fetched already, or if handles of that
         engine currently expire at once.
         """
-        reader = reading.ticket.placement.reader.id
+        reader = prefill.ticket.placement.reader.id
         now = self._clock.monotonic()
-        is_lapsing = self._books.loads.has_lapsing_handles(reader, now)
-        return reading.is_handle_used or is_lapsing
+        is_expired = self._books.loads.has_lapsing_handles(reader, now)
+        return prefill.is_handle_used or is_expired
 
-    def take_up(
+    def reassign_decoder(
         self,
-        reading: KeptReading,
+        prefill: RetainedPrefill,
         engines: Sequence[UpstreamRecord],
         avoid: Collection[str],
     ) -> ReadingLoss | None:
         """Reassign a prompt to another decoder; return why that fails, or None."""
-        loss = self.find_loss(reading, engines, avoid)
+        loss = self.find_prefill_loss(prefill, engines, avoid)
         if loss is not None:
             return loss
-        old = reading.ticket
-        ticket = Ticket(old.placement, old.parts, old.rank, is_read=True)
-        if not self.renew_decoder(ticket, engines, avoid):
+        old = prefill.ticket
+        ticket = Ticket(old.placement, old.parts, old.rank, is_prefilled=True)
+        if not self.reselect_decoder(ticket, engines, avoid):
             return ReadingLoss.NO_GENERATOR
-        self._note_copied(ticket)
-        reading.ticket = ticket
+        self._note_copying(ticket)
+        prefill.ticket = ticket
         return None
 
-    def _note_copied(self, ticket: Ticket) -> None:
+    def _note_copying(self, ticket: Ticket) -> None:
         """Account for a prompt that the decoder copies and generates from."""
-        self._note_parts(ticket.placement.decoder, ticket.parts)
-        self._take_place(ticket)
+        self._note_placed_parts(ticket.placement.decoder, ticket.parts)
+        self._occupy_slot(ticket)
 
-    def _add_reading(self, engine: str, seconds: float, rank: int) -> None:
+    def _add_prefill_work(self, engine: str, seconds: float, rank: int) -> None:
         self._note_change()
         outstanding = self._books.works.get(engine).seconds
         outstanding[rank] = max(outstanding[rank] + seconds, 0.0)
 
-    def _take_place(self, ticket: Ticket) -> None:
+    def _occupy_slot(self, ticket: Ticket) -> None:
         ticket.is_running = True
         self._note_change()
         self._books.works.get(ticket.placement.decoder.id).running += 1
 
-    def _note_parts(self, engine: UpstreamRecord, parts: Sequence[HashedPart]) -> None:
+    def _note_placed_parts(
+        self, engine: UpstreamRecord, parts: Sequence[HashedPart]
+    ) -> None:
         """Note which engine has the parts, here and for the next digest."""
         self._books.prefixes.note(engine.id, engine.stage, parts)
         self._placed += [PlacedPart(engine.id, *part) for part in parts]
-        del self._placed[:-PARTS_LIMIT]
+        del self._placed[:-MAX_PLACED_PARTS]
 
     def end(self, ticket: Ticket) -> None:
         """Release everything that the generation still holds."""
-        self.end_reading(ticket)
-        for turn in (ticket.reader_turn, ticket.decoder_turn):
-            if turn is not None:
-                self._limits.release(turn)
+        self.end_prefill(ticket)
+        for reservation in (ticket.reader_reservation, ticket.decoder_reservation):
+            if reservation is not None:
+                self._limits.release(reservation)
         if ticket.is_running:
             self._note_change()
             work = self._books.works.get(ticket.placement.decoder.id)
             work.running = max(work.running - 1, 0)
 
-    def hear(self, digest: PeerDigest) -> None:
+    def apply_digest(self, digest: PeerDigest) -> None:
         """Apply the outstanding work and placements of another gateway."""
         if not self._books.works.peers.hear(digest, self._clock.monotonic()):
             return
@@ -317,7 +321,7 @@
             speeds=self._models.tell(),
         )
 
-    def tell_changing(self, engines: Collection[str]) -> None:
+    def set_changing(self, engines: Collection[str]) -> None:
         """Set the engines that this gateway has ordered to change their stage."""
         self._changing = set(engines)
 
@@ -325,7 +329,9 @@
         """Return the number of generations of all gateways running at an engine."""
         return self._books.works.sum_running(engine)
 
-    def take_held(self, engine: UpstreamRecord, parts: Sequence[PromptPart]) -> None:
+    def add_cached_parts(
+        self, engine: UpstreamRecord, parts: Sequence[PromptPart]
+    ) -> None:
         """Note the parts that an engine reports as cached."""
         self._books.prefixes.note(engine.id, engine.stage, hash_parts(parts))
 
@@ -335,7 +341,7 @@
         self._books.prefixes.caches.pop(id, None)
         self._models.forget(id)
 
-    def take_table(self, table: RoutingTable) -> None:
+    def apply_table(self, table: RoutingTable) -> None:
         """Apply what the configuration declares of engines and of routes to them."""
         self._books.pauses.clear()
         self._books.pauses.update(find_pauses(table.routes))
@@ -348,11 +354,11 @@
                 service.name, engine.steps_per_event, engine.copy_seconds
             )
 
-    def learn_read(self, ticket: Ticket, took: timedelta) -> None:
-        """Learn from the time that a reader other than the decoder took.
+    def learn_prefill(self, ticket: Ticket, took: timedelta) -> None:
+        """Learn from the duration of a prefill on another engine than the decoder.
 
-        Late prompts are left out: prompts that came later may have been read first, so
-        their times say nothing about the speed of the engine.
+        Late prompts are left out: ones that came after them may have been served first,
+        so their times say nothing about the speed of the engine.
         """
         if ticket.rank >= LATE_RANK:
             return
--- a/packages/mustardquay-node/src/mustardquay_node/handovers.py
+++ b/packages/mustardquay-node/src/mustardquay_node/handovers.py
@@ -21,7 +21,7 @@
 
 from .adapters import Prefilled
 from .forwarder_parts import ForwardedRequest, ForwarderParts
-from .generators import KeptReading, Ticket
+from .generation_planners import RetainedPrefill, Ticket
 from .rate_turns import await_turn
 from .replies import Reply
 from .sends import Send, Sender, SendOptions
@@ -65,14 +65,14 @@
             return await _generate_alone(parts, request, sender, ticket)
         read = await _have_read(parts, request, sender, ticket)
         if isinstance(read, Send):
-            planner.end_reading(ticket)
+            planner.end_prefill(ticket)
             return read
         engines = parts.upstreams.list_usable(request.service)
-        request.reading = KeptReading(ticket, read)
-        if not planner.renew_decoder(ticket, engines, request.avoid):
+        request.reading = RetainedPrefill(ticket, read)
+        if not planner.reselect_decoder(ticket, engines, request.avoid):
             drop_reading(parts, request, ReadingLoss.NO_GENERATOR)
             return None
-        planner.end_reading(ticket, is_handed_over=True)
+        planner.end_prefill(ticket, is_handed_over=True)
         return await _hand_over(parts, request, sender, request.reading)
     finally:
         planner.end(ticket)
@@ -81,11 +81,11 @@
 def _take_up(
     parts: ForwarderParts,
     request: ForwardedRequest,
-    reading: KeptReading,
+    reading: RetainedPrefill,
     engines: list[UpstreamRecord],
 ) -> bool:
     """Have another engine generate from what was read; dropped if none can."""
-    loss = parts.planner.take_up(reading, engines, request.avoid)
+    loss = parts.planner.reassign_decoder(reading, engines, request.avoid)
     if loss is not None:
         drop_reading(parts, request, loss)
         return False
@@ -106,7 +106,7 @@
     if reading is None or reading.is_used:
         return
     placement = reading.ticket.placement
-    parts.count_unused_reading(reason)
+    parts.count_unused_prefill(reason)
     parts.events.record(
         "reading.unused",
         request=request.id,
@@ -173,7 +173,7 @@
 ) -> Send:
     """Have one engine read the prompt and generate."""
     placement = ticket.placement
-    await await_turn(parts, ticket.reader_turn)
+    await await_turn(parts, ticket.reader_reservation)
     options = SendOptions(
         patience=limit_first(request.route, placement),
         fetch_from=placement.holder.address if placement.holder else "",
@@ -182,12 +182,12 @@
     return await sender.run(placement.decoder, options)
 
 
-def _note_used(reading: KeptReading) -> None:
+def _note_used(reading: RetainedPrefill) -> None:
     reading.is_used = True
 
 
 def _note_first(
-    parts: ForwarderParts, ticket: Ticket, reading: KeptReading | None = None
+    parts: ForwarderParts, ticket: Ticket, reading: RetainedPrefill | None = None
 ) -> Callable[[], None]:
     """Return what is called when the first event shows that the prompt was read."""
     started = parts.clock.monotonic()
@@ -195,7 +195,7 @@
     def note() -> None:
         if reading is not None:
             _note_used(reading)
-        parts.planner.end_reading(ticket)
+        parts.planner.end_prefill(ticket)
         parts.planner.learn_first(ticket, parts.clock.monotonic() - started)
 
     return note
@@ -209,7 +209,7 @@
 ) -> Prefilled | Send:
     """Have an engine read the prompt; returns the failed send if it does not."""
     placement = ticket.placement
-    await await_turn(parts, ticket.reader_turn)
+    await await_turn(parts, ticket.reader_reservation)
     started = parts.clock.monotonic()
     options = SendOptions(
         prefill_only=True,
@@ -225,7 +225,7 @@
         except ProtocolError as error:
             send.detail = str(error)
         else:
-            parts.planner.learn_read(ticket, took)
+            parts.planner.learn_prefill(ticket, took)
             return prefilled
     # Reading a prompt does not run the request, whatever came of it.
     if send.end is not SendEnd.CALLER_LEFT:
@@ -238,7 +238,7 @@
     parts: ForwarderParts,
     request: ForwardedRequest,
     sender: Sender,
-    reading: KeptReading,
+    reading: RetainedPrefill,
 ) -> Send:
     """Have the other engine generate from what was read."""
     send = await _generate_from(parts, request, sender, reading)
@@ -251,7 +251,7 @@
     parts: ForwarderParts,
     request: ForwardedRequest,
     sender: Sender,
-    reading: KeptReading,
+    reading: RetainedPrefill,
 ) -> Send:
     """Send to the engine that generates, by handle or else by the cached parts.
 
@@ -263,8 +263,8 @@
     ticket = reading.ticket
     placement = ticket.placement
     address, reader = placement.reader.address, placement.reader.id
-    await await_turn(parts, ticket.decoder_turn)
-    if not parts.planner.must_copy(reading):
+    await await_turn(parts, ticket.decoder_reservation)
+    if not parts.planner.must_copy_from_cache(reading):
         source = parts.adapter.build_kv_source(address, reading.prefilled)
         options = SendOptions(
             kv_source=source, read=_note_first(parts, ticket, reading)
--- a/packages/mustardquay-node/src/mustardquay_node/peers.py
+++ b/packages/mustardquay-node/src/mustardquay_node/peers.py
@@ -27,7 +27,7 @@
 __all__ = [
     "PEERS_TABLE",
     "PeerLink",
-    "list_told",
+    "list_recipients",
 ]
 
 logger = logging.getLogger(__name__)
@@ -35,7 +35,7 @@
 PEERS_TABLE = "gateways"
 """Table in which each gateway registers its address when it starts."""
 BUSY_INTERVAL = timedelta(milliseconds=40)
-"""Minimum time between digests; an engine reads some two prompts in it."""
+"""Minimum time between digests; an engine prefills some two prompts in it."""
 PEER_INTERVAL = timedelta(milliseconds=2.5)
 """Minimum time between digests for each recipient, which limits a gateway with many
 peers to some 400 datagrams a second."""
@@ -46,16 +46,16 @@
 """Maximum time between digests without outstanding work."""
 DATAGRAM_LIMIT = 1400
 """Bytes; a larger datagram is fragmented, and the loss of one fragment loses all."""
-PARTS_LIMIT = 60
+MAX_PLACED_PARTS = 60
 """Prompt parts in one digest: with their engines they fit into `DATAGRAM_LIMIT`."""
-PEERS_LIMIT = 32
+MAX_RECIPIENTS = 32
 """Recipients of the digests of one gateway, its neighbours in the order of names. More
 would be too expensive in a large fleet."""
 REGISTER_SPREAD = timedelta(seconds=1)
 """Time over which the gateways spread their new registrations after a restore of the
 store."""
 REGISTER_RETRY = timedelta(seconds=1)
-FAREWELL_LIMIT = timedelta(milliseconds=300)
+DEREGISTER_TIMEOUT = timedelta(milliseconds=300)
 """Timeout of the call that removes the registration: the platform kills a stopping
 process one second after its drain timeout. An address that stays registered has no
 further effect."""
@@ -92,7 +92,7 @@
         self._note_listed = note_listed
         self._random = random or Random(name)
         self._peers: dict[str, tuple[str, int]] = {}
-        self._hurry = asyncio.Event()
+        self._urgent = asyncio.Event()
         self._changed = asyncio.Event()
         self._transport: asyncio.DatagramTransport | None = None
         self._tasks: list[asyncio.Task[None]] = []
@@ -107,7 +107,7 @@
         self._address = f"{host}:{port}"
         self._tasks = [
             asyncio.create_task(self._register()),
-            asyncio.create_task(self._tell_forever()),
+            asyncio.create_task(self._send_forever()),
         ]
 
     async def close(self) -> None:
@@ -119,7 +119,7 @@
             self._transport.close()
         write = Write(PEERS_TABLE, self._name, None)
         try:
-            async with asyncio.timeout(FAREWELL_LIMIT.total_seconds()):
+            async with asyncio.timeout(DEREGISTER_TIMEOUT.total_seconds()):
                 await self._store.transact(Transaction(writes=(write,)))
         except (MustardquayError, TimeoutError) as error:
             logger.info("Could not remove the registered peer address: %r", error)
@@ -129,9 +129,9 @@
         """Return the number of listed gateways, including this one."""
         return len(self._peers) + 1
 
-    def hurry(self) -> None:
+    def send_now(self) -> None:
         """Send the next digest as soon as possible, for urgent changes."""
-        self._hurry.set()
+        self._urgent.set()
         self._changed.set()
 
     def note_change(self) -> None:
@@ -151,7 +151,7 @@
             else:
                 self._peers[row.key] = address
         self._events.record("peers.listed", peers=len(self._peers))
-        told = list_told(self._name, self._peers)
+        told = list_recipients(self._name, self._peers)
         self._note_listed(told, len(self._peers) - len(told))
 
     def datagram_received(self, data: bytes, addr: Any) -> None:
@@ -187,17 +187,19 @@
                 )
                 await asyncio.sleep(REGISTER_RETRY.total_seconds())
 
-    async def _tell_forever(self) -> None:
+    async def _send_forever(self) -> None:
         while True:
             digest = self._build()
             if self._peers:
                 self._send(encode_digest(digest))
-            told = min(len(self._peers), PEERS_LIMIT)
-            await self._wait_for(self._hurry, max(BUSY_INTERVAL, told * PEER_INTERVAL))
+            recipients = min(len(self._peers), MAX_RECIPIENTS)
+            await self._wait_for(
+                self._urgent, max(BUSY_INTERVAL, recipients * PEER_INTERVAL)
+            )
             if digest.demands is None:
                 steady = STEADY_INTERVAL if digest.engines else IDLE_INTERVAL
                 await self._wait_for(self._changed, steady)
-            self._hurry.clear()
+            self._urgent.clear()
             self._changed.clear()
 
     async def _wait_for(self, event: asyncio.Event, limit: timedelta) -> None:
@@ -211,11 +213,11 @@
         assert self._transport is not None
         if len(data) > DATAGRAM_LIMIT:
             self._events.record("peer.digest_large", bytes=len(data))
-        for name in list_told(self._name, self._peers):
+        for name in list_recipients(self._name, self._peers):
             self._transport.sendto(data, self._peers[name])
 
 
-def list_told(name: str, peers: Iterable[str]) -> list[str]:
+def list_recipients(name: str, peers: Iterable[str]) -> list[str]:
     """Return the recipients of a gateway's digests: its neighbours in a ring of names.
 
     Guards against gateways that receive no digests: if all gateways sent theirs to the
@@ -224,15 +226,15 @@
     zones: otherwise the first gateway of a zone would receive nothing from others of
     that zone, and could not tell while it stops whether callers still need it.
 
-    >>> list_told("c", ["a", "b", "d"])
+    >>> list_recipients("c", ["a", "b", "d"])
     ['d', 'a', 'b']
     """
     names = sorted(peers)
     first = bisect(names, name)
     ring = names[first:] + names[:first]
-    if len(ring) <= PEERS_LIMIT:
+    if len(ring) <= MAX_RECIPIENTS:
         return ring
-    return ring[: PEERS_LIMIT // 2] + ring[-PEERS_LIMIT // 2 :]
+    return ring[: MAX_RECIPIENTS // 2] + ring[-MAX_RECIPIENTS // 2 :]
 
 
 def _read_address(value: bytes) -> tuple[str, int] | None:
--- a/packages/mustardquay-node/src/mustardquay_node/processes.py
+++ b/packages/mustardquay-node/src/mustardquay_node/processes.py
@@ -13,7 +13,7 @@
 
 from mustardquay.errors import SettingsError
 
-from .early_reloads import was_told_early
+from .early_reloads import was_reload_requested
 from .logs import Logs, write_event
 from .settings import GatewaySettings, read_settings
 
@@ -28,7 +28,7 @@
 SETTINGS_ERROR = 2
 """Exit code for invalid settings."""
 
-_LISTEN_FAULTS = (errno.EADDRINUSE, errno.EADDRNOTAVAIL, errno.EACCES)
+_LISTEN_ERRORS = (errno.EADDRINUSE, errno.EADDRNOTAVAIL, errno.EACCES)
 
 
 def run(files: Sequence[Path]) -> None:
@@ -36,14 +36,14 @@
     try:
         asyncio.run(run_node(read_settings(*files), files))
     except SettingsError as error:
-        _refuse(str(error))
+        _exit_with_error(str(error))
     except OSError as error:
-        if error.errno not in _LISTEN_FAULTS:
+        if error.errno not in _LISTEN_ERRORS:
             raise
-        _refuse(f"Can't listen ({error}); choose a free port of this machine.")
+        _exit_with_error(f"Can't listen ({error}); choose a free port of this machine.")
 
 
-def _refuse(message: str) -> NoReturn:
+def _exit_with_error(message: str) -> NoReturn:
     print(message, file=sys.stderr)
     raise SystemExit(SETTINGS_ERROR) from None
 
@@ -59,7 +59,7 @@
     loop = asyncio.get_running_loop()
     if isinstance(settings, GatewaySettings):
         loop.add_signal_handler(signal.SIGHUP, node.reload)
-        if was_told_early():
+        if was_reload_requested():
             node.reload()
     else:
         signal.signal(signal.SIGHUP, signal.SIG_DFL)
@@ -69,7 +69,7 @@
         # Without an enclosing action, eliot generates an id for each line.
         with eliot.start_task(action_type=PROCESS_ACTION, process=settings.node.name):
             await node.start()
-            _relieve_collector()
+            _tune_garbage_collector()
             await stop.wait()
             await node.close()
     finally:
@@ -92,7 +92,7 @@
     return Agent(settings, write_event=write_event)
 
 
-def _relieve_collector() -> None:
+def _tune_garbage_collector() -> None:
     # Modules and settings live as long as the process, and requests create few
     # reference cycles. With the default thresholds, the collector repeatedly traverses
     # all of them, which costs processor time and causes pauses between tokens. There is
--- a/packages/mustardquay-node/src/mustardquay_node/programs.py
+++ b/packages/mustardquay-node/src/mustardquay_node/programs.py
@@ -5,14 +5,14 @@
 import sys
 from pathlib import Path
 
-from .early_reloads import note_early_reloads
+from .early_reloads import record_early_reloads
 
 __all__ = ["main"]
 
 
 def main() -> None:
     """Run the program."""
-    note_early_reloads()
+    record_early_reloads()
     # Imports create almost no garbage, and the collector would repeatedly traverse all
     # loaded modules; the process enables it again once it has started.
     gc.disable()
--- a/packages/mustardquay-node/src/mustardquay_node/sends.py
+++ b/packages/mustardquay-node/src/mustardquay_node/sends.py
@@ -307,12 +307,12 @@
         crashes = self._parts.crashes
         fingerprint = self._request.fingerprint
         if send.end is SendEnd.BROKEN and end == ExchangeEnd.BROKEN:
-            crashes.note_broken(send.upstream, fingerprint)
+            crashes.note_broken_send(send.upstream, fingerprint)
             self._parts.pools.probe(send.upstream)
         elif send.end is SendEnd.ANSWERED:
             crashes.note_answer(fingerprint)
         if end == ExchangeEnd.NOT_CONNECTED:
-            crashes.note_lost(send.upstream.id)
+            crashes.note_upstream_lost(send.upstream.id)
 
     def _note_load(self, send: Send, end: str, options: SendOptions) -> None:
         now = self._parts.clock.monotonic()
--- a/packages/mustardquay-node/src/mustardquay_node/stage_keepers.py
+++ b/packages/mustardquay-node/src/mustardquay_node/stage_controllers.py
@@ -23,9 +23,9 @@
 from .adapters import Adapter, EngineReport, StoreTables
 from .engine_calls import CallEngine, EngineCall
 
-__all__ = ["StageKeeper", "StageKeeperParts"]
+__all__ = ["StageController", "StageControllerDependencies"]
 
-DOMAIN = "stages"
+LEASE_DOMAIN = "stages"
 ORDER_VALIDITY = timedelta(seconds=0.7)
 """How long the holder may give orders after it sent a renewal."""
 LEASE_TERM = timedelta(seconds=4.4)
@@ -36,28 +36,28 @@
 """Interval at which the lease is observed while no change is due, from the start on.
 Each observation is two calls. If the lease was not renewed since the last one, the term
 has already passed and need not be waited out while no engine generates."""
-TURN = timedelta(seconds=1)
-"""Interval of the control loop."""
-HURRIED_TURN = timedelta(milliseconds=150)
+RUN_INTERVAL = timedelta(seconds=1)
+"""Mean interval of the control loop."""
+SHORT_INTERVAL = timedelta(milliseconds=150)
 """Shorter interval after a decoding engine has started to drain."""
-HURRIED_TURNS = 4
+SHORT_INTERVALS = 4
 """Number of shorter intervals; the planner waits 0.3 s in case the engine returns."""
-SETTLING = timedelta(seconds=3)
+STARTUP_DELAY = timedelta(seconds=3)
 """Time after the start in which no orders are given: the list of engines fills up as
 they write their first records, and an incomplete list results in a different plan."""
-NOTICE = timedelta(milliseconds=90)
+NOTICE_PERIOD = timedelta(milliseconds=90)
 """Time between the notice to other gateways, in a digest sent at once, and the order:
 an engine that changes its stage refuses requests that it has not started."""
-ORDER_PATIENCE = timedelta(seconds=6)
+ORDER_TIMEOUT = timedelta(seconds=6)
 """How long an engine may report its old stage after an order before a new order is
 considered. A change takes some 3 s, and the record is written every 1.2 s."""
-ACCEPTED = (200, 202)
+ACCEPTED_STATUSES = (200, 202)
 """HTTP status codes of accepted orders."""
 
 
 @dataclass(slots=True)
-class StageKeeperParts:
-    """Dependencies of a `StageKeeper`."""
+class StageControllerDependencies:
+    """Dependencies of a `StageController`."""
 
     adapter: Adapter
     store: StoreTables
@@ -75,7 +75,7 @@
     """Returns the number of generations running at an engine."""
     measure_capacities: Callable[[Sequence[UpstreamRecord]], Mapping[str, float]]
     """Returns the share of its usual work that rate limits permit, by engine."""
-    tell_changing: Callable[[Collection[str]], None]
+    announce_changing: Callable[[Collection[str]], None]
     """Notifies all gateways of engines that change their stage and accept no work."""
     is_serving: Callable[[], bool]
     """Returns whether this gateway has served callers."""
@@ -87,21 +87,21 @@
     at: timedelta
 
 
-class StageKeeper:
+class StageController:
     """Orders changes of stages that are due, after it has acquired the lease."""
 
-    def __init__(self, name: str, parts: StageKeeperParts):
+    def __init__(self, name: str, deps: StageControllerDependencies):
         """Initialise the controller; `name` must differ for each start of a process."""
         self._name = name
-        self._parts = parts
+        self._deps = deps
         self._planner = StagePlanner()
-        self._lease = Lease(DOMAIN, name, LEASE_TERM, ORDER_VALIDITY)
+        self._lease = Lease(LEASE_DOMAIN, name, LEASE_TERM, ORDER_VALIDITY)
         self._ordered: dict[str, _Ordered] = {}
-        self._started = parts.clock.monotonic()
+        self._started = deps.clock.monotonic()
         self._observed_at: timedelta | None = None
         self._task: asyncio.Task[None] | None = None
-        self._hurry = asyncio.Event()
-        self._hurried = 0
+        self._wakeup = asyncio.Event()
+        self._short_intervals_left = 0
 
     def start(self) -> None:
         """Start the control loop."""
@@ -113,7 +113,7 @@
             self._task.cancel()
             await asyncio.gather(self._task, return_exceptions=True)
 
-    def hurry(self) -> None:
+    def check_now(self) -> None:
         """Plan without waiting for the interval: a decoding engine starts to drain.
 
         A change of stage makes an engine unavailable for seconds, and the loss of
@@ -121,8 +121,8 @@
         interval of a second plus the planner's wait delayed an order by 1.7 s, and all
         generations were refused for 1.5 s.
         """
-        self._hurried = HURRIED_TURNS
-        self._hurry.set()
+        self._short_intervals_left = SHORT_INTERVALS
+        self._wakeup.set()
 
     def note_era(self) -> None:
         """Give up the lease immediately: the store was restored from a copy.
@@ -130,39 +130,39 @@
         Another gateway may have taken it over since the copy was made and may already
         give orders.
         """
-        now = self._parts.clock.monotonic()
+        now = self._deps.clock.monotonic()
         if self._lease.is_held(now):
-            self._parts.events.record(
-                "lease.ended", domain=DOMAIN, fence=self._lease.order_fence.number
+            self._deps.events.record(
+                "lease.ended", domain=LEASE_DOMAIN, fence=self._lease.order_fence.number
             )
-        self._lease.begin_era(self._parts.store.era, now)
+        self._lease.begin_era(self._deps.store.era, now)
 
     async def _run(self) -> None:
         while True:
-            await self._pause()
+            await self._wait()
             try:
-                await self.turn()
+                await self.run_once()
             except MustardquayError as error:
-                self._parts.events.record("stage.turn_failed", error=str(error))
+                self._deps.events.record("stage.turn_failed", error=str(error))
 
-    async def _pause(self) -> None:
-        jitter = 0.5 + self._parts.random.random()
-        if self._hurried:
-            self._hurried -= 1
-            await asyncio.sleep(HURRIED_TURN.total_seconds() * jitter)
+    async def _wait(self) -> None:
+        jitter = 0.5 + self._deps.random.random()
+        if self._short_intervals_left:
+            self._short_intervals_left -= 1
+            await asyncio.sleep(SHORT_INTERVAL.total_seconds() * jitter)
             return
         try:
-            async with asyncio.timeout(TURN.total_seconds() * jitter):
-                await self._hurry.wait()
+            async with asyncio.timeout(RUN_INTERVAL.total_seconds() * jitter):
+                await self._wakeup.wait()
         except TimeoutError:
             return
-        self._hurry.clear()
+        self._wakeup.clear()
 
-    async def turn(self) -> None:
+    async def run_once(self) -> None:
         """Order the changes that are due, if this process can hold the lease."""
         if self._is_observation_due():
             await self._observe()
-        if self._parts.clock.monotonic() - self._started < SETTLING:
+        if self._deps.clock.monotonic() - self._started < STARTUP_DELAY:
             return
         changes = self._plan()
         if not changes:
@@ -170,108 +170,108 @@
         if not await self._renew():
             return
         for change in changes:
-            if not self._lease.is_held(self._parts.clock.monotonic()):
+            if not self._lease.is_held(self._deps.clock.monotonic()):
                 return
             await self._order(change)
 
     def _plan(self) -> list[StageChange]:
-        parts = self._parts
-        now = parts.clock.monotonic()
+        deps = self._deps
+        now = deps.clock.monotonic()
         changes: list[StageChange] = []
-        for service in parts.list_services():
+        for service in deps.list_services():
             engines = [
                 engine
-                for engine in parts.upstreams.list_usable(service)
+                for engine in deps.upstreams.list_usable(service)
                 if engine.stage is not Stage.NONE
             ]
-            self._forget_settled(engines, now)
+            self._forget_completed(engines, now)
             ordered = {id: each.stage for id, each in self._ordered.items()}
             if engines:
                 changes += self._planner.plan(
                     service,
                     engines,
                     ordered,
-                    sum(parts.count_streams(engine.id) for engine in engines),
+                    sum(deps.count_streams(engine.id) for engine in engines),
                     now,
-                    parts.is_serving(),
-                    {engine.id for engine in engines if parts.is_lost(engine.id)},
+                    deps.is_serving(),
+                    {engine.id for engine in engines if deps.is_lost(engine.id)},
                     self._measure_capacities(engines),
                 )
         return changes
 
     def _measure_capacities(self, engines: list[UpstreamRecord]) -> Mapping[str, float]:
         decoders = [engine for engine in engines if engine.stage is Stage.DECODE]
-        return self._parts.measure_capacities(decoders)
+        return self._deps.measure_capacities(decoders)
 
-    def _forget_settled(self, engines: list[UpstreamRecord], now: timedelta) -> None:
+    def _forget_completed(self, engines: list[UpstreamRecord], now: timedelta) -> None:
         for engine in engines:
             ordered = self._ordered.get(engine.id)
             if ordered is None:
                 continue
-            if engine.stage is ordered.stage or now - ordered.at > ORDER_PATIENCE:
+            if engine.stage is ordered.stage or now - ordered.at > ORDER_TIMEOUT:
                 del self._ordered[engine.id]
-                self._parts.tell_changing(set(self._ordered))
+                self._deps.announce_changing(set(self._ordered))
 
     def _is_observation_due(self) -> bool:
-        if not self._parts.list_services():
+        if not self._deps.list_services():
             return False
         if self._observed_at is None:
             return True
-        return self._parts.clock.monotonic() - self._observed_at >= OBSERVE_INTERVAL
+        return self._deps.clock.monotonic() - self._observed_at >= OBSERVE_INTERVAL
 
     async def _observe(self) -> None:
-        parts = self._parts
-        self._observed_at = parts.clock.monotonic()
-        lease = await parts.store.read(LEASES, DOMAIN)
-        era = parts.store.era
-        beat = await parts.store.read(BEATS, DOMAIN)
-        if parts.store.era != era:
+        deps = self._deps
+        self._observed_at = deps.clock.monotonic()
+        lease = await deps.store.read(LEASES, LEASE_DOMAIN)
+        era = deps.store.era
+        beat = await deps.store.read(BEATS, LEASE_DOMAIN)
+        if deps.store.era != era:
             # The store was restored between the two reads.
             self.note_era()
             return
         rows = LeaseRows(lease, beat, era)
-        self._lease.observe(rows, parts.clock.monotonic())
+        self._lease.observe(rows, deps.clock.monotonic())
 
     async def _renew(self) -> bool:
-        parts = self._parts
-        store = parts.store
+        deps = self._deps
+        store = deps.store
         await self._observe()
-        transaction = self._lease.propose(parts.clock.monotonic())
+        transaction = self._lease.propose(deps.clock.monotonic())
         if transaction is None:
             return False
         fence = self._lease.order_fence
         result = await store.transact(transaction)
-        self._lease.settle(result, transaction, parts.clock.monotonic())
+        self._lease.settle(result, transaction, deps.clock.monotonic())
         if self._lease.order_fence != fence:
             number = self._lease.order_fence.number
-            parts.events.record("lease.taken", domain=DOMAIN, fence=number)
-        return self._lease.is_held(parts.clock.monotonic())
+            deps.events.record("lease.taken", domain=LEASE_DOMAIN, fence=number)
+        return self._lease.is_held(deps.clock.monotonic())
 
     async def _order(self, change: StageChange) -> None:
         engine = change.engine
-        report = await self._ask(engine)
+        report = await self._fetch_report(engine)
         if report is None or report.is_switching or report.stage is change.stage:
             self._log(change, "not_due", 0)
             if report is not None:
-                now = self._parts.clock.monotonic()
+                now = self._deps.clock.monotonic()
                 self._ordered[engine.id] = _Ordered(change.stage, now)
             return
-        now = self._parts.clock.monotonic()
+        now = self._deps.clock.monotonic()
         if not self._lease.is_held(now):
             return
         self._ordered[engine.id] = _Ordered(change.stage, now)
-        self._parts.tell_changing(set(self._ordered))
-        await asyncio.sleep(NOTICE.total_seconds())
-        if not self._lease.is_held(self._parts.clock.monotonic()):
+        self._deps.announce_changing(set(self._ordered))
+        await asyncio.sleep(NOTICE_PERIOD.total_seconds())
+        if not self._lease.is_held(self._deps.clock.monotonic()):
             return
-        adapter = self._parts.adapter
+        adapter = self._deps.adapter
         body = adapter.build_order(
             change.stage,
             self._name,
             self._lease.order_fence.number,
             report.orders_accepted,
         )
-        exchange = await self._parts.call(
+        exchange = await self._deps.call(
             engine, EngineCall("POST", adapter.ORDER_PATH, body)
         )
         status = exchange.head.status if exchange and exchange.head else 0
@@ -279,19 +279,19 @@
             # The order may still be carried out seconds later. The next order expects
             # the same number of previous orders, so only one of the two is accepted.
             del self._ordered[engine.id]
-            self._parts.tell_changing(set(self._ordered))
+            self._deps.announce_changing(set(self._ordered))
         self._log(change, _name_outcome(status), status)
 
-    async def _ask(self, engine: UpstreamRecord) -> EngineReport | None:
-        adapter = self._parts.adapter
+    async def _fetch_report(self, engine: UpstreamRecord) -> EngineReport | None:
+        adapter = self._deps.adapter
         call = EngineCall("GET", adapter.REPORT_PATH)
-        exchange = await self._parts.call(engine, call)
+        exchange = await self._deps.call(engine, call)
         if exchange is None or exchange.head is None or exchange.head.status != 200:
             return None
         return adapter.read_report(exchange.content)
 
     def _log(self, change: StageChange, outcome: str, status: int) -> None:
-        self._parts.events.record(
+        self._deps.events.record(
             "stage.ordered",
             upstream=change.engine.id,
             stage=change.stage.value,
@@ -302,6 +302,6 @@
 
 
 def _name_outcome(status: int) -> str:
-    if status in ACCEPTED:
+    if status in ACCEPTED_STATUSES:
         return "accepted"
     return "refused" if status else "unanswered"
--- a/packages/mustardquay-node/src/mustardquay_node/upstream_intakes.py
+++ b/packages/mustardquay-node/src/mustardquay_node/upstream_list_updaters.py
@@ -12,13 +12,13 @@
 from .adapters import Adapter, StoreRow
 from .feeds import RETURN_GRACE
 
-__all__ = ["UpstreamIntake"]
+__all__ = ["UpstreamListUpdater"]
 
-GONE_LIMIT = 1_000
+MAX_REMOVED = 1_000
 """Removed upstreams whose last records are kept."""
 
 
-class UpstreamIntake:
+class UpstreamListUpdater:
     """Keeps the list of upstreams in step with the rows of the store."""
 
     def __init__(
@@ -41,23 +41,23 @@
         self._clock = clock
         self._forget = forget
         self._note_leaving = note_leaving
-        self._gone: OrderedDict[str, UpstreamRecord] = OrderedDict()
+        self._removed: OrderedDict[str, UpstreamRecord] = OrderedDict()
         """The last records of removed upstreams, oldest first."""
-        self._distrusts_until = timedelta()
+        self._restore_grace_until = timedelta()
 
-    def begin_return(self) -> None:
+    def begin_restore(self) -> None:
         """Note that the store was restored from a copy, so that records may be old.
 
         Guards against a copy made before an upstream started to drain: because of its
         old record it would get new work until it writes its next one.
         """
-        self._distrusts_until = self._clock.monotonic() + RETURN_GRACE
+        self._restore_grace_until = self._clock.monotonic() + RETURN_GRACE
 
     def begin_grace(self) -> None:
         """Start the grace period of upstreams: the store is back from an outage."""
         self._upstreams.begin_grace(self._clock.monotonic())
 
-    def take(self, rows: Sequence[StoreRow], is_whole: bool) -> None:
+    def apply_rows(self, rows: Sequence[StoreRow], is_whole: bool) -> None:
         """Apply rows of the store: with `is_whole` all of them, else changed ones."""
         now = self._clock.monotonic()
         records = []
@@ -66,25 +66,25 @@
                 self._drop(row.key, now)
                 continue
             record = self._read(row)
-            if record is None or self._is_outdated(record, now):
+            if record is None or self._is_stale(record, now):
                 continue
             records.append(record)
             self._put(record)
         if is_whole:
             for record in self._upstreams.replace(records, now):
-                self._note_gone(record)
+                self._note_removed(record)
 
     def expire(self) -> None:
         """Remove the upstreams that did not return after an outage of the store."""
         for record in self._upstreams.expire(self._clock.monotonic()):
-            self._note_gone(record)
+            self._note_removed(record)
 
-    def _is_outdated(self, record: UpstreamRecord, now: timedelta) -> bool:
+    def _is_stale(self, record: UpstreamRecord, now: timedelta) -> bool:
         """Return whether a record of a restored store is older than the known one."""
-        if now >= self._distrusts_until:
+        if now >= self._restore_grace_until:
             return False
         listed = self._upstreams.get(record.id)
-        known = listed or self._gone.get(record.id)
+        known = listed or self._removed.get(record.id)
         if known is None or known.started_ms != record.started_ms:
             return False
         if record.sequence != known.sequence:
@@ -116,15 +116,15 @@
     def _drop(self, id: str, now: timedelta) -> None:
         record = self._upstreams.get(id)
         if record is not None and self._upstreams.remove(id, now):
-            self._note_gone(record)
+            self._note_removed(record)
             if not record.draining:
                 self._note_leaving(record)
 
-    def _note_gone(self, record: UpstreamRecord) -> None:
-        self._gone[record.id] = record
-        self._gone.move_to_end(record.id)
-        if len(self._gone) > GONE_LIMIT:
-            self._gone.popitem(last=False)
+    def _note_removed(self, record: UpstreamRecord) -> None:
+        self._removed[record.id] = record
+        self._removed.move_to_end(record.id)
+        if len(self._removed) > MAX_REMOVED:
+            self._removed.popitem(last=False)
         self._events.record("upstream.gone", upstream=record.id)
         self._forget(record.id)
 
--- a/packages/mustardquay-node/tests/played_bursts.py
+++ b/packages/mustardquay-node/tests/simulated_bursts.py
@@ -26,8 +26,8 @@
 from mustardquay.routing_tables import Backend, Repeat, Route, RoutingTable
 from mustardquay.upstream_lists import Stage, UpstreamList, UpstreamRecord
 from mustardquay.upstream_loads import LoadBook
-from mustardquay_node.generators import GenerationPlanner, Ticket
-from mustardquay_node.peers import BUSY_INTERVAL, PEER_INTERVAL, list_told
+from mustardquay_node.generation_planners import GenerationPlanner, Ticket
+from mustardquay_node.peers import BUSY_INTERVAL, PEER_INTERVAL, list_recipients
 
 __all__ = ["Burst", "Caller", "Outcome", "play"]
 
@@ -175,7 +175,7 @@
         self._names = [f"g{n:03}" for n in range(burst.gateways)]
         self._changed = [False] * burst.gateways
         self._planners = [self._make_planner(n) for n in range(burst.gateways)]
-        self._told = [self._list_told(n) for n in range(burst.gateways)]
+        self._recipients = [self._list_recipients(n) for n in range(burst.gateways)]
         self._times = [AnswerTimes() for _ in self._names]
         self._numbers = [0] * burst.gateways
         self._free_at: dict[str, float] = {}
@@ -207,10 +207,10 @@
     def _after(self, seconds: float, act: Callable[[], None]) -> None:
         self._at(self._now + seconds, act)
 
-    def _list_told(self, number: int) -> list[int]:
+    def _list_recipients(self, number: int) -> list[int]:
         name = self._names[number]
         others = [each for each in self._names if each != name]
-        told = list_told(name, others)
+        told = list_recipients(name, others)
         self._planners[number].note_listed(len(told), len(others) - len(told))
         return [self._names.index(each) for each in told]
 
@@ -225,7 +225,7 @@
             note_change=lambda: self._note_change(number),
             random=self._random,
         )
-        planner.take_table(RoutingTable(1, (ROUTE,), {}))
+        planner.apply_table(RoutingTable(1, (ROUTE,), {}))
         return planner
 
     def _arrive(self, end: float, peak_from: float, peak_to: float) -> None:
@@ -325,10 +325,10 @@
     def _read(self, caller: Caller, planner: GenerationPlanner, ticket: Ticket) -> None:
         caller.read_after = self._now - caller.admitted_at
         if ticket.placement.prefiller:
-            planner.learn_read(ticket, timedelta(seconds=caller.read_after))
-            planner.end_reading(ticket, is_handed_over=True)
+            planner.learn_prefill(ticket, timedelta(seconds=caller.read_after))
+            planner.end_prefill(ticket, is_handed_over=True)
         else:
-            planner.end_reading(ticket)
+            planner.end_prefill(ticket)
         self._after(SENDING, lambda: self._generate(caller, planner, ticket, self._now))
 
     def _generate(
@@ -367,10 +367,12 @@
         self._numbers[number] += 1
         name = self._names[number]
         digest = self._planners[number].build_digest(name, 1, self._numbers[number], 1)
-        for other in self._told[number]:
-            self._after(0.001, lambda each=self._planners[other]: each.hear(digest))
+        for other in self._recipients[number]:
+            self._after(
+                0.001, lambda each=self._planners[other]: each.apply_digest(digest)
+            )
         self._changed[number] = False
-        interval = max(BUSY_INTERVAL, len(self._told[number]) * PEER_INTERVAL)
+        interval = max(BUSY_INTERVAL, len(self._recipients[number]) * PEER_INTERVAL)
         self._after(interval.total_seconds(), lambda: self._look(number, end))
 
     def _look(self, number: int, end: float) -> None:
--- a/packages/mustardquay-node/tests/test_bursts.py
+++ b/packages/mustardquay-node/tests/test_bursts.py
@@ -3,7 +3,7 @@
 from dataclasses import replace
 
 import pytest
-from played_bursts import Burst, play
+from simulated_bursts import Burst, play
 
 SHORT = Burst(seconds=(2.0, 2.0, 0.5))
 
--- a/packages/mustardquay-node/tests/test_configuration_intakes.py
+++ b/packages/mustardquay-node/tests/test_configuration_loaders.py
@@ -6,7 +6,7 @@
 from mustardquay.events import EventRing, HybridClock
 from mustardquay.routing_tables import RoutingTable
 from mustardquay_node.adapters import StoreRow
-from mustardquay_node.configuration_intakes import ConfigurationIntake
+from mustardquay_node.configuration_loaders import ConfigurationLoader
 
 
 @dataclass
@@ -24,9 +24,9 @@
 
 
 def take(*rows):
-    """Take in rows in one read; returns the intake and what was decoded."""
+    """Take in rows in one read; returns the loader and what was decoded."""
     clock, decoder = VirtualClock(), Decoder()
-    intake = ConfigurationIntake(
+    loader = ConfigurationLoader(
         decoder,
         EventRing("g1", HybridClock(clock)),
         clock,
@@ -34,25 +34,25 @@
         list_others=list,
         get_bound=lambda: timedelta(seconds=2),
     )
-    intake.take(rows, is_whole=False)
-    return intake, decoder.decoded
+    loader.apply_rows(rows, is_whole=False)
+    return loader, decoder.decoded
 
 
 def test_of_several_versions_only_the_newest_is_decoded():
     """Guards against a busy process that is late by versions nobody needs any more."""
     rows = [StoreRow("config", str(number).encode(), number) for number in (4, 6, 9)]
-    intake, decoded = take(*rows)
-    assert (intake.version, decoded) == (9, [b"9"])
+    loader, decoded = take(*rows)
+    assert (loader.version, decoded) == (9, [b"9"])
 
 
 def test_the_newest_that_can_be_decoded_comes_into_force():
     """Guards against a good version that is lost since a bad one came behind it."""
-    intake, decoded = take(StoreRow("config", b"6", 6), StoreRow("config", b"{", 9))
-    assert (intake.version, decoded) == (6, [b"{", b"6"])
+    loader, decoded = take(StoreRow("config", b"6", 6), StoreRow("config", b"{", 9))
+    assert (loader.version, decoded) == (6, [b"{", b"6"])
 
 
 def test_a_row_that_was_removed_changes_nothing():
-    intake, decoded = take(
+    loader, decoded = take(
         StoreRow("config", b"6", 6), StoreRow("config", b"", 7, deleted=True)
     )
-    assert (intake.version, decoded) == (6, [b"6"])
+    assert (loader.version, decoded) == (6, [b"6"])
--- a/packages/mustardquay-node/tests/test_generators.py
+++ b/packages/mustardquay-node/tests/test_generation_planners.py
@@ -9,7 +9,7 @@
 from mustardquay.uplinks import Uplink
 from mustardquay.upstream_lists import Stage, UpstreamList, UpstreamRecord
 from mustardquay.upstream_loads import LoadBook
-from mustardquay_node.generators import GenerationPlanner
+from mustardquay_node.generation_planners import GenerationPlanner
 
 PROMPT = PromptTraits("m", 9_190, 6, (PromptPart("a", 6_300), PromptPart("b", 2_890)))
 ENGINES = [
@@ -52,13 +52,13 @@
     for engine in ENGINES:
         upstreams.put(engine)
     planner = GenerationPlanner(VirtualClock(), upstreams, LoadBook(), make_models())
-    planner.take_table(TABLE)
+    planner.apply_table(TABLE)
     return planner
 
 
 def make_busy(planner):
     """Have the engine that generates run 30 streams of another gateway."""
-    planner.hear(PeerDigest("g9", 1, 1, 1, (EngineDigest("d", (0.0,), 30),)))
+    planner.apply_digest(PeerDigest("g9", 1, 1, 1, (EngineDigest("d", (0.0,), 30),)))
 
 
 def test_a_prompt_that_waits_to_be_read_holds_no_place_at_the_other_engine():
@@ -77,7 +77,7 @@
     assert len(apart) > 32
     running = 30 + len(tickets) - len(apart)
     assert planner.choose(PROMPT, ENGINES, ()).occupancy == running / 64
-    planner.end_reading(apart[0], is_handed_over=True)
+    planner.end_prefill(apart[0], is_handed_over=True)
     assert planner.count_streams("d") == running + 1
     for ticket in tickets:
         planner.end(ticket)
@@ -93,10 +93,10 @@
     assert {part.engine for part in digest.placed} == {"p"}
     other = make_planner()
     make_busy(other)
-    other.hear(digest)
+    other.apply_digest(digest)
     assert other.choose(make_prompt(1), ENGINES, ()).wait_seconds > 0
     planner.end(ticket)
-    other.hear(planner.build_digest("g1", 1, 2, 7))
+    other.apply_digest(planner.build_digest("g1", 1, 2, 7))
     assert other.choose(make_prompt(1), ENGINES, ()).wait_seconds == 0
 
 
@@ -138,7 +138,7 @@
     planner = GenerationPlanner(
         clock, UpstreamList(), LoadBook(), make_models(), uplink
     )
-    planner.take_table(TABLE)
+    planner.apply_table(TABLE)
     waits, readers = play_burst(planner, clock, uplink, 5, per_second=70)
     assert max(waits) < timedelta(milliseconds=120)
     # What the link has left is still used to keep streams undisturbed.
@@ -150,6 +150,6 @@
     planner = GenerationPlanner(
         clock, UpstreamList(), LoadBook(), make_models(), uplink
     )
-    planner.take_table(TABLE)
+    planner.apply_table(TABLE)
     _, readers = play_burst(planner, clock, uplink, 5, per_second=70)
     assert readers[Stage.DECODE] == 0
--- a/packages/mustardquay-node/tests/test_peers.py
+++ b/packages/mustardquay-node/tests/test_peers.py
@@ -12,7 +12,7 @@
 from mustardquay_node import digest_frames
 from mustardquay_node.adapters import StoreRow
 from mustardquay_node.digest_frames import decode_digest, encode_digest
-from mustardquay_node.peers import PEERS_LIMIT, PeerLink, list_told
+from mustardquay_node.peers import MAX_RECIPIENTS, PeerLink, list_recipients
 
 
 def test_each_gateway_of_a_large_fleet_is_told_by_some():
@@ -22,10 +22,10 @@
     placed work as if they were alone.
     """
     names = [f"gateway-{number:03}" for number in range(100)]
-    told = {name: list_told(name, set(names) - {name}) for name in names}
+    told = {name: list_recipients(name, set(names) - {name}) for name in names}
     for name in names:
         listeners = [each for each in names if name in told[each]]
-        assert len(listeners) == PEERS_LIMIT
+        assert len(listeners) == MAX_RECIPIENTS
         assert name not in told[name]
 
 
@@ -42,7 +42,7 @@
 
 def test_a_datagram_of_another_layout_is_not_read():
     """Guards against programs of two versions that misread each other."""
-    message = digest_frames.WIRE.Digest.new_message()
+    message = digest_frames.SCHEMA.Digest.new_message()
     message.gateway = "g"
     message.layout = digest_frames.LAYOUT + 1
     assert decode_digest(message.to_bytes_packed()) is None
@@ -98,9 +98,9 @@
                 await asyncio.sleep(0.01)
             address = next(each for each in store.writes if each.key == "b").value
             links[0].take_rows([StoreRow("b", orjson.dumps(address), 1)], True)
-            links[0].hurry()
+            links[0].send_now()
             await heard.get()
-        links[0].hurry()
+        links[0].send_now()
         # Less than the time to the next digest of an idle gateway.
         async with asyncio.timeout(0.3):
             assert (await heard.get()).gateway == "a"
--- a/packages/mustardquay-node/tests/test_stage_keepers.py
+++ b/packages/mustardquay-node/tests/test_stage_controllers.py
@@ -6,13 +6,13 @@
 from mustardquay.events import EventRing, HybridClock
 from mustardquay.leases import BEATS, LEASES, Lease, LeaseRows
 from mustardquay.upstream_lists import Stage, UpstreamList, UpstreamRecord
-from mustardquay_node.stage_keepers import (
-    DOMAIN,
+from mustardquay_node.stage_controllers import (
+    LEASE_DOMAIN,
     LEASE_TERM,
     OBSERVE_INTERVAL,
     ORDER_VALIDITY,
-    StageKeeper,
-    StageKeeperParts,
+    StageController,
+    StageControllerDependencies,
 )
 from mustardquay_standins.stores import LocalTables
 
@@ -27,7 +27,7 @@
 
 
 class Fleet:
-    """A keeper, its store, and engines, of which none generates after `lose`."""
+    """A controller, its store, and engines, of which none generates after `lose`."""
 
     def __init__(self):
         self.clock = VirtualClock()
@@ -35,9 +35,9 @@
         self.store = LocalTables()
         self.events = EventRing("g", HybridClock(self.clock), 100)
         self.upstreams = UpstreamList()
-        self.keeper = StageKeeper("g-1", self._make_parts())
+        self.controller = StageController("g-1", self._make_dependencies())
 
-    def _make_parts(self):
+    def _make_dependencies(self):
         class Adapter:
             REPORT_PATH = "/report"
 
@@ -45,7 +45,7 @@
             def build_headers(base, target):
                 return base
 
-        return StageKeeperParts(
+        return StageControllerDependencies(
             adapter=Adapter,
             store=self.store,
             clock=self.clock,
@@ -57,7 +57,7 @@
             call=reach_nobody,
             count_streams=lambda id: 0,
             measure_capacities=lambda engines: {},
-            tell_changing=lambda ids: None,
+            announce_changing=lambda ids: None,
             is_serving=lambda: True,
         )
 
@@ -67,7 +67,8 @@
 
     async def renew_as_another(self, lease):
         rows = LeaseRows(
-            await self.store.read(LEASES, DOMAIN), await self.store.read(BEATS, DOMAIN)
+            await self.store.read(LEASES, LEASE_DOMAIN),
+            await self.store.read(BEATS, LEASE_DOMAIN),
         )
         lease.observe(rows, self.clock.monotonic())
         transaction = lease.propose(self.clock.monotonic())
@@ -78,7 +79,7 @@
 
 
 def make_other():
-    return Lease(DOMAIN, "other", LEASE_TERM, ORDER_VALIDITY)
+    return Lease(LEASE_DOMAIN, "other", LEASE_TERM, ORDER_VALIDITY)
 
 
 async def test_a_holder_that_died_long_ago_is_replaced_without_waiting_out_its_term():
@@ -90,10 +91,10 @@
     """
     fleet = Fleet()
     await fleet.renew_as_another(make_other())
-    await fleet.keeper.turn()
+    await fleet.controller.run_once()
     fleet.clock.advance(LEASE_TERM + timedelta(milliseconds=1))
     fleet.lose()
-    await fleet.keeper.turn()
+    await fleet.controller.run_once()
     assert fleet.is_taken()
 
 
@@ -105,26 +106,26 @@
     fleet = Fleet()
     other = make_other()
     await fleet.renew_as_another(other)
-    await fleet.keeper.turn()
+    await fleet.controller.run_once()
     fleet.clock.advance(LEASE_TERM * 2)
     await fleet.renew_as_another(other)
     fleet.lose()
     for _ in range(4):
-        await fleet.keeper.turn()
+        await fleet.controller.run_once()
         assert not fleet.is_taken()
         fleet.clock.advance(LEASE_TERM / 4 - timedelta(milliseconds=1))
     fleet.clock.advance(timedelta(seconds=1))
-    await fleet.keeper.turn()
+    await fleet.controller.run_once()
     assert fleet.is_taken()
 
 
-class CountingKeeper(StageKeeper):
-    """Counts its turns."""
+class CountingController(StageController):
+    """Counts its runs."""
 
-    turns = 0
+    runs = 0
 
-    async def turn(self):
-        self.turns += 1
+    async def run_once(self):
+        self.runs += 1
 
 
 async def test_an_engine_that_leaves_is_replaced_at_once():
@@ -133,21 +134,21 @@
     One of two engines that generate leaves, and the other one crashes three seconds
     later. The order to a third one came 1.7 s after the first had said that it leaves.
     """
-    keeper = CountingKeeper("g-1", Fleet()._make_parts())
-    keeper.start()
+    controller = CountingController("g-1", Fleet()._make_dependencies())
+    controller.start()
     await asyncio.sleep(0.05)
-    assert keeper.turns == 0
-    keeper.hurry()
+    assert controller.runs == 0
+    controller.check_now()
     await asyncio.sleep(0.75)
-    await keeper.close()
+    await controller.close()
     # The planner waits 0.3 s between the turn that sees the lack and the order.
-    assert keeper.turns >= 3
+    assert controller.runs >= 3
 
 
 async def test_at_rest_the_lease_is_seldom_looked_at():
     fleet = Fleet()
     for _ in range(30):
-        await fleet.keeper.turn()
+        await fleet.controller.run_once()
         fleet.clock.advance(timedelta(seconds=1))
     assert fleet.store.counters.reads == 2 * 30 // OBSERVE_INTERVAL.seconds
 
@@ -157,12 +158,12 @@
     fleet = Fleet()
     fleet.store.era = 1
     fleet.lose()
-    await fleet.keeper.turn()
+    await fleet.controller.run_once()
     fleet.clock.advance(LEASE_TERM)
-    await fleet.keeper.turn()
+    await fleet.controller.run_once()
     assert fleet.is_taken()
     fleet.store.era = 2
-    fleet.keeper.note_era()
+    fleet.controller.note_era()
     assert [
         each.kind
         for each in fleet.events.list_events()
@@ -170,6 +171,6 @@
     ] == ["lease.taken", "lease.ended"]
     for _ in range(3):
         fleet.clock.advance(LEASE_TERM / 4)
-        await fleet.keeper.turn()
+        await fleet.controller.run_once()
     taken = [e for e in fleet.events.list_events() if e.kind == "lease.taken"]
     assert len(taken) == 1
--- a/packages/mustardquay/tests/test_rate_divisions.py
+++ b/packages/mustardquay/tests/test_rate_divisions.py
@@ -45,7 +45,7 @@
         self.interval = max(0.04, 0.01 * min(size - 1, 2 * TOLD_SIDE))
         self.told_at = [self.random.random() * self.interval for _ in range(size)]
 
-    def list_told(self, gateway):
+    def list_recipients(self, gateway):
         others = [(gateway + step) % self.size for step in range(1, self.size)]
         if len(others) <= 2 * TOLD_SIDE:
             return others
@@ -67,7 +67,7 @@
 
     def start(self, gateway, now):
         book = self.books[gateway] = LimitBook()
-        told = [str(each) for each in self.list_told(gateway)]
+        told = [str(each) for each in self.list_recipients(gateway)]
         strangers = self.size - 1 - len(told)
         book.demand.list_gateways(told, strangers, timedelta(seconds=now))
 
@@ -79,7 +79,7 @@
         book = self.books[gateway]
         demands = book.demand.tell(at) if book.knows_any(at) else None
         notices = book.tell(at)
-        for other in self.list_told(gateway):
+        for other in self.list_recipients(gateway):
             is_cut = gateway in self.cut_off or other in self.cut_off
             if is_cut or other not in self.books or self.random.random() < LOST:
                 continue
--- a/packages/mustardquay/tests/test_stop_bounds.py
+++ b/packages/mustardquay/tests/test_stop_bounds.py
@@ -91,13 +91,13 @@
     Of 40 gateways each tells the 16 that follow it by name, so that the first one of a
     zone hears nobody of its own zone; 8 of the 13 there stop.
     """
-    from mustardquay_node.peers import list_told
+    from mustardquay_node.peers import list_recipients
 
     names = [f"{zone}-{index:02}" for zone in "abc" for index in range(13)]
     own = "b-00"
     book = FleetBook()
     for name in names:
-        if name != own and own in list_told(name, set(names) - {name}):
+        if name != own and own in list_recipients(name, set(names) - {name}):
             stops = name.startswith("b") and name < "b-08"
             left = 5 * SECOND if stops else None
             hear(book, name, SECOND, name[0], is_ready=not stops, ends_in=left)
