--- a/packages/mustardquay-node/src/mustardquay_node/crash_reporters.py
+++ b/packages/mustardquay-node/src/mustardquay_node/crash_reporters.py
@@ -79,7 +79,7 @@
             "upstream.crashed", upstream=upstream, requests=len(fingerprints)
         )
 
-    def list_changes(self) -> tuple[CrashRecord, ...]:
+    def list_recent_changes(self) -> tuple[CrashRecord, ...]:
         """Return the changed records for the next digest."""
         now = self._clock.monotonic()
         while len(self._reported) > 1 and now - self._reported[1][0] > REPEAT_TIME:
--- a/packages/mustardquay-node/src/mustardquay_node/digest_exchanges.py
+++ b/packages/mustardquay-node/src/mustardquay_node/digest_exchanges.py
@@ -56,7 +56,7 @@
         knows_limits = deps.limits.knows_any(now)
         return replace(
             digest,
-            crashes=deps.crashes.list_changes(),
+            crashes=deps.crashes.list_recent_changes(),
             availability_zone=deps.availability_zone,
             is_ready=deps.is_ready(),
             limits=deps.limits.tell(now),
