--- a/packages/mustardquay-node/src/mustardquay_node/configuration_loaders.py
+++ b/packages/mustardquay-node/src/mustardquay_node/configuration_loaders.py
@@ -23,21 +23,21 @@
         adapter: Adapter,
         events: EventRing,
         clock: Clock,
-        put: Callable[[RoutingTable], None],
-        list_others: Callable[[], Sequence[int]],
+        activate: Callable[[RoutingTable], None],
+        list_peer_versions: Callable[[], Sequence[int]],
         get_bound: Callable[[], timedelta],
     ):
         """Initialise the loader without a configuration.
 
-        `put` activates a configuration. `list_others` returns the versions that are
-        active on the other gateways. `get_bound` returns the time within which a
-        version has to be active everywhere.
+        `activate` puts a configuration into force. `list_peer_versions` returns the
+        active versions of the other gateways. `get_bound` returns the time within which
+        a version has to be active everywhere.
         """
         self._adapter = adapter
         self._events = events
         self._clock = clock
-        self._put = put
-        self._list_others = list_others
+        self._activate = activate
+        self._list_peer_versions = list_peer_versions
         self._get_bound = get_bound
         self._versions = VersionBook()
 
@@ -60,7 +60,7 @@
         """Return how far the active configuration may be relied on."""
         if not self._versions.is_behind:
             return TableState.CURRENT
-        others = self._list_others()
+        others = self._list_peer_versions()
         now = self._clock.monotonic()
         return self._versions.judge(others, self._get_bound(), now)
 
@@ -84,26 +84,28 @@
         for row in sorted(rows, key=attrgetter("version"), reverse=True):
             if row.key != self._adapter.CONFIGURATION_KEY or row.deleted:
                 continue
-            if self._read(row):
+            if self._load(row):
                 return
 
-    def _read(self, row: StoreRow) -> bool:
-        """Decode and offer one row; return whether it could be decoded."""
-        begun = self._clock.monotonic()
+    def _load(self, row: StoreRow) -> bool:
+        """Decode and activate one row; return whether it could be decoded."""
+        started_at = self._clock.monotonic()
         try:
             table = self._adapter.read_configuration(row.value)
         except ProtocolError as error:
             self._events.record("configuration.refused", error=str(error))
             return False
-        self._offer(table, begun, len(row.value))
+        self._activate_if_newer(table, started_at, len(row.value))
         return True
 
-    def _offer(self, table: RoutingTable, begun: timedelta, size: int) -> None:
+    def _activate_if_newer(
+        self, table: RoutingTable, started_at: timedelta, size: int
+    ) -> None:
         before = self.version
         if before and table.version <= before:
             return
         lag = self.lag
-        self._put(table)
+        self._activate(table)
         self._versions.put(table.version)
         self._events.record(
             "configuration.in_force",
@@ -112,7 +114,7 @@
             routes=len(table.routes),
             bytes=size,
             behind_ms=_to_milliseconds(lag),
-            decode_ms=_to_milliseconds(self._clock.monotonic() - begun),
+            decode_ms=_to_milliseconds(self._clock.monotonic() - started_at),
         )
 
 
--- a/packages/mustardquay-node/src/mustardquay_node/digest_exchanges.py
+++ b/packages/mustardquay-node/src/mustardquay_node/digest_exchanges.py
@@ -74,17 +74,17 @@
         deps.planner.apply_digest(digest)
         deps.stop.hear(digest)
         deps.crashes.merge(digest.crashes)
-        self._hear_limits(digest)
+        self._apply_limits(digest)
         if deps.configurations.note_peer_version(digest.gateway, digest.configuration):
             deps.fetch_configuration()
 
-    def note_listed(self, told: Collection[str], others: int) -> None:
+    def set_gateways(self, senders: Collection[str], others: int) -> None:
         """Note the gateways that send digests here, and the number of the others."""
         now = self._deps.clock.monotonic()
-        self._deps.limits.demand.list_gateways(told, others, now)
-        self._deps.planner.note_listed(len(told), others)
+        self._deps.limits.demand.list_gateways(senders, others, now)
+        self._deps.planner.set_gateway_counts(len(senders), others)
 
-    def _hear_limits(self, digest: PeerDigest) -> None:
+    def _apply_limits(self, digest: PeerDigest) -> None:
         now = self._deps.clock.monotonic()
         self._deps.limits.demand.hear(digest.gateway, digest.demands, now)
         for notice in digest.limits:
--- a/packages/mustardquay-node/src/mustardquay_node/gateways.py
+++ b/packages/mustardquay-node/src/mustardquay_node/gateways.py
@@ -80,7 +80,7 @@
             self._events,
             self._clock,
             self._upstreams.forget,
-            self._note_leaving,
+            self._note_draining,
         )
         self._configurations = ConfigurationLoader(
             self._adapter,
@@ -320,7 +320,7 @@
             self._events,
             self._digest_exchange.build,
             self._digest_exchange.apply_digest,
-            self._digest_exchange.note_listed,
+            self._digest_exchange.set_gateways,
             self._random,
         )
 
@@ -374,7 +374,7 @@
         table = self._forwarder.table
         return table.limits if table is not None else CallerLimits()
 
-    def _note_leaving(self, record: UpstreamRecord) -> None:
+    def _note_draining(self, record: UpstreamRecord) -> None:
         if record.stage is Stage.DECODE:
             self._stage_controller.check_now()
 
--- a/packages/mustardquay-node/src/mustardquay_node/generation_planners.py
+++ b/packages/mustardquay-node/src/mustardquay_node/generation_planners.py
@@ -288,10 +288,10 @@
                 hashed = ((part.part, part.tokens),)
                 self._books.prefixes.note(engine.id, engine.stage, hashed)
 
-    def note_listed(self, told: int, others: int) -> None:
+    def set_gateway_counts(self, senders: int, others: int) -> None:
         """Note how many gateways send digests here, and how many others there are."""
-        self._books.works.peers.unheard_ratio = others / told if told else 0.0
-        self._sample = make_sample(self._random, 1 + told + others)
+        self._books.works.peers.unheard_ratio = others / senders if senders else 0.0
+        self._sample = make_sample(self._random, 1 + senders + others)
 
     def list_configurations(self) -> list[int]:
         """Return the configuration version of each of the other gateways."""
--- a/packages/mustardquay-node/src/mustardquay_node/peers.py
+++ b/packages/mustardquay-node/src/mustardquay_node/peers.py
@@ -72,15 +72,17 @@
         clock: Clock,
         events: EventRing,
         build: Callable[[], PeerDigest],
-        hear: Callable[[PeerDigest], None],
-        note_listed: Callable[[Collection[str], int], None] = lambda told, others: None,
+        apply_digest: Callable[[PeerDigest], None],
+        set_gateways: Callable[[Collection[str], int], None] = lambda senders, others: (
+            None
+        ),
         random: Random | None = None,
     ):
         """Initialise without peers; `build` returns the next digest of this gateway.
 
-        `hear` is called with each digest received. `note_listed` is called with each
-        new list of gateways: those that exchange digests with this one, and the number
-        of the others.
+        `apply_digest` is called with each digest received. `set_gateways` is called
+        with each new list of gateways: those that exchange digests with this one, and
+        the number of the others.
         """
         self._name = name
         self._address = address
@@ -88,8 +90,8 @@
         self._clock = clock
         self._events = events
         self._build = build
-        self._hear = hear
-        self._note_listed = note_listed
+        self._apply_digest = apply_digest
+        self._set_gateways = set_gateways
         self._random = random or Random(name)
         self._peers: dict[str, tuple[str, int]] = {}
         self._urgent = asyncio.Event()
@@ -151,8 +153,8 @@
             else:
                 self._peers[row.key] = address
         self._events.record("peers.listed", peers=len(self._peers))
-        told = list_recipients(self._name, self._peers)
-        self._note_listed(told, len(self._peers) - len(told))
+        recipients = list_recipients(self._name, self._peers)
+        self._set_gateways(recipients, len(self._peers) - len(recipients))
 
     def datagram_received(self, data: bytes, addr: Any) -> None:
         """Decode a datagram and pass on its digest, unless it is this gateway's own."""
@@ -160,7 +162,7 @@
         if digest is None:
             self._events.record("peer.unreadable", address=str(addr))
         elif digest.gateway != self._name:
-            self._hear(digest)
+            self._apply_digest(digest)
 
     def error_received(self, exc: Exception) -> None:
         """Ignore an unreachable peer; the next digest is sent to it as well."""
--- a/packages/mustardquay-node/src/mustardquay_node/upstream_list_updaters.py
+++ b/packages/mustardquay-node/src/mustardquay_node/upstream_list_updaters.py
@@ -28,19 +28,19 @@
         events: EventRing,
         clock: Clock,
         forget: Callable[[str], None],
-        note_leaving: Callable[[UpstreamRecord], None],
+        note_draining: Callable[[UpstreamRecord], None],
     ):
         """Initialise the updater of `upstreams`.
 
         `forget` is called for each upstream that was removed or restarted,
-        `note_leaving` for each one that starts to drain, or is removed without that.
+        `note_draining` for each one that starts to drain, or is removed without that.
         """
         self._adapter = adapter
         self._upstreams = upstreams
         self._events = events
         self._clock = clock
         self._forget = forget
-        self._note_leaving = note_leaving
+        self._note_draining = note_draining
         self._removed: OrderedDict[str, UpstreamRecord] = OrderedDict()
         """The last records of removed upstreams, oldest first."""
         self._restore_grace_until = timedelta()
@@ -111,14 +111,14 @@
         elif (before.draining, before.stage) != (record.draining, record.stage):
             self._log("upstream.changed", record)
             if record.draining:
-                self._note_leaving(record)
+                self._note_draining(record)
 
     def _drop(self, id: str, now: timedelta) -> None:
         record = self._upstreams.get(id)
         if record is not None and self._upstreams.remove(id, now):
             self._note_removed(record)
             if not record.draining:
-                self._note_leaving(record)
+                self._note_draining(record)
 
     def _note_removed(self, record: UpstreamRecord) -> None:
         self._removed[record.id] = record
--- a/packages/mustardquay-node/tests/simulated_bursts.py
+++ b/packages/mustardquay-node/tests/simulated_bursts.py
@@ -1,7 +1,8 @@
-"""Played bursts: gateways that place long prompts on engines, on a virtual clock.
+"""Simulation of bursts of long prompts that gateways place on engines.
 
-Engines read one prompt after the other, those of a lower rank first. Gateways hear of
-each other by digests that are old. Only time passes: no sockets, no loop.
+Engines prefill one prompt after the other, lower ranks first. Gateways receive each
+other's digests late. The simulation runs on a virtual clock, without sockets and
+without an event loop.
 """
 
 from collections.abc import Callable
@@ -29,24 +30,25 @@
 from mustardquay_node.generation_planners import GenerationPlanner, Ticket
 from mustardquay_node.peers import BUSY_INTERVAL, PEER_INTERVAL, list_recipients
 
-__all__ = ["Burst", "Caller", "Outcome", "play"]
+__all__ = ["Burst", "Caller", "Outcome", "simulate"]
 
 SHARED, OWN = 6_300, 2_890
-"""Tokens of a prompt: its shared part, and the middle of its own."""
+"""Tokens of a prompt: those of its shared part, and the median of its own part."""
 DOCUMENTS = 40
-"""Shared parts in use."""
+"""Number of different shared parts."""
 TOKEN_SECONDS = 4.24e-6
 PAIR_SECONDS = 1.4e-10
 STEP_SECONDS = 0.001
-"""An engine's true speed: once, a token, a pair of a new token and one before it."""
+"""Duration of a prefill: once, for each new token, and for each pair of a new token and
+an earlier one."""
 SLOWDOWN = 2.0
-"""How many times longer an engine that generates reads."""
-SENDING = 0.02
-"""Seconds on the way to an engine, on average."""
-FIRST = 0.015
-"""Seconds besides until its first event is at the caller, on average."""
-LOOK = 0.005
-"""Seconds between two looks whether a gateway has something to tell."""
+"""Factor by which a prefill takes longer on an engine that also generates."""
+NETWORK_DELAY = 0.02
+"""Mean network delay to an engine, in seconds."""
+FIRST_EVENT_DELAY = 0.015
+"""Mean additional time in seconds until the first event reaches the caller."""
+CHECK_INTERVAL = 0.005
+"""Seconds between checks whether a gateway has changes to send."""
 ROUTE = Route(
     "r",
     "h",
@@ -62,41 +64,41 @@
 
 @dataclass(frozen=True, slots=True)
 class Burst:
-    """A load: what the engines can read, then more than that, then less again."""
+    """Load profile: below the capacity of the engines, above it, and below it again."""
 
     gateways: int = 18
     readers: int = 6
     decoders: int = 2
     slots: int = 12
-    calm: float = 0.4
-    """Prompts that come in the calm, against what the engines can read."""
+    base: float = 0.4
+    """Load before and after the peak, as a ratio of the prefill capacity."""
     peak: float = 1.3
-    generating: float = 0.004
-    """Seconds of an engine that generates which each short answer takes."""
+    decode_seconds: float = 0.004
+    """Seconds that a decoder is occupied by each short answer."""
     seconds: tuple[float, float, float] = (4.0, 4.0, 1.0)
-    """Of the calm, the peak, and the calm after it."""
+    """Durations of the phases before, during and after the peak."""
     busy_gateways: int = 0
-    """Gateways to which all callers come, 0 for all."""
+    """Number of gateways that receive all callers, 0 for all gateways."""
     seed: int = 1
 
 
 @dataclass(slots=True)
 class Caller:
-    """One caller's request."""
+    """The request of one caller and its results."""
 
-    came_at: float
+    arrived_at: float
     prompt: PromptTraits
     gateway: int
     refusals: int = 0
     admitted_at: float | None = None
     expected: float = 0.0
-    """Seconds in which it was expected to be read, when it was admitted."""
+    """Expected duration of its prefill in seconds, at its admission."""
     was_late: bool = False
-    """Whether it was admitted as one that can't be in time."""
-    read_after: float | None = None
-    """Seconds from its admission until it was read."""
+    """Whether it was admitted as one that will miss the latency target."""
+    prefilled_after: float | None = None
+    """Seconds from its admission to the end of its prefill."""
     answered_after: float | None = None
-    """Seconds from its coming to the first event."""
+    """Seconds from its arrival to the first event."""
 
     @property
     def is_in_time(self) -> bool:
@@ -107,7 +109,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Outcome:
-    """What the callers of a play got."""
+    """The results of a simulation."""
 
     callers: list[Caller]
     peak_from: float
@@ -115,23 +117,23 @@
 
     @property
     def in_peak(self) -> list[Caller]:
-        """Return those who came in the peak."""
+        """Return the callers that arrived during the peak."""
         return [
             each
             for each in self.callers
-            if self.peak_from <= each.came_at < self.peak_to
+            if self.peak_from <= each.arrived_at < self.peak_to
         ]
 
     def share_in_time(self) -> float:
-        """Return the part of the peak's callers who were served in time."""
+        """Return the share of the peak's callers that were served in time."""
         return _share(self.in_peak, lambda each: each.is_in_time)
 
     def share_served(self) -> float:
-        """Return the part of the peak's callers who got an answer."""
+        """Return the share of the peak's callers that got an answer."""
         return _share(self.in_peak, lambda each: each.answered_after is not None)
 
-    def share_kept(self) -> float:
-        """Return the part of those admitted as in time who were in time."""
+    def share_admitted_in_time(self) -> float:
+        """Return the share of callers admitted as in time that were in time."""
         admitted = [
             each
             for each in self.in_peak
@@ -140,7 +142,7 @@
         return _share(admitted, lambda each: each.is_in_time)
 
     def count_refusals(self) -> float:
-        """Return the refusals for each caller of the peak."""
+        """Return the mean number of refusals per caller of the peak."""
         return sum(each.refusals for each in self.in_peak) / len(self.in_peak)
 
 
@@ -150,13 +152,13 @@
 
 @dataclass(slots=True)
 class _Engine:
-    """Reads one prompt at a time, by rank and then in order of arrival."""
+    """Prefills one prompt at a time, by rank and then in order of arrival."""
 
     waiting: list = field(default_factory=list)
     is_busy: bool = False
 
 
-class _Play:
+class _Simulation:
     def __init__(self, burst: Burst):
         self._burst = burst
         self._random = Random(burst.seed)
@@ -171,7 +173,7 @@
             for n, stage in enumerate(stages)
         ]
         self._engines = {each.id: _Engine() for each in self._records}
-        self._held: dict[str, set[str]] = {each.id: set() for each in self._records}
+        self._cached: dict[str, set[str]] = {each.id: set() for each in self._records}
         self._names = [f"g{n:03}" for n in range(burst.gateways)]
         self._changed = [False] * burst.gateways
         self._planners = [self._make_planner(n) for n in range(burst.gateways)]
@@ -179,23 +181,25 @@
         self._times = [AnswerTimes() for _ in self._names]
         self._numbers = [0] * burst.gateways
         self._free_at: dict[str, float] = {}
-        """When each engine that generates has done so for all that it has."""
+        """When each decoder will have finished the generations in its queue."""
         self._callers: list[Caller] = []
 
     def run(self) -> Outcome:
         burst = self._burst
-        calm, peak, rest = burst.seconds
-        end = calm + peak + rest
-        self._arrive(end, calm, calm + peak)
+        before, peak, after = burst.seconds
+        end = before + peak + after
+        self._schedule_arrivals(end, before, before + peak)
         for number in range(burst.gateways):
-            self._at(self._random.random() * 0.1, lambda n=number: self._tell(n, end))
+            self._at(
+                self._random.random() * 0.1, lambda n=number: self._send_digest(n, end)
+            )
         while self._events:
             at, _, act = heappop(self._events)
             self._clock.advance(
                 max(timedelta(seconds=at) - self._clock.monotonic(), timedelta())
             )
             act()
-        return Outcome(self._callers, calm, calm + peak)
+        return Outcome(self._callers, before, before + peak)
 
     @property
     def _now(self) -> float:
@@ -210,9 +214,11 @@
     def _list_recipients(self, number: int) -> list[int]:
         name = self._names[number]
         others = [each for each in self._names if each != name]
-        told = list_recipients(name, others)
-        self._planners[number].note_listed(len(told), len(others) - len(told))
-        return [self._names.index(each) for each in told]
+        recipients = list_recipients(name, others)
+        self._planners[number].set_gateway_counts(
+            len(recipients), len(others) - len(recipients)
+        )
+        return [self._names.index(each) for each in recipients]
 
     def _make_planner(self, number: int) -> GenerationPlanner:
         upstreams = UpstreamList()
@@ -228,19 +234,19 @@
         planner.apply_table(RoutingTable(1, (ROUTE,), {}))
         return planner
 
-    def _arrive(self, end: float, peak_from: float, peak_to: float) -> None:
+    def _schedule_arrivals(self, end: float, peak_from: float, peak_to: float) -> None:
         burst, random = self._burst, self._random
-        usual = _measure_reading(OWN, SHARED)
+        usual = _measure_prefill(OWN, SHARED)
         capacity = burst.readers / usual
         at = 0.0
         while at < end:
             is_peak = peak_from <= at < peak_to
-            load = burst.peak if is_peak else burst.calm
+            load = burst.peak if is_peak else burst.base
             at += random.expovariate(load * capacity)
             gateway = random.randrange(burst.busy_gateways or burst.gateways)
             caller = Caller(at, self._draw_prompt(), gateway)
             self._callers.append(caller)
-            self._at(at, lambda each=caller: self._ask(each))
+            self._at(at, lambda each=caller: self._request(each))
 
     def _draw_prompt(self) -> PromptTraits:
         random = self._random
@@ -252,9 +258,9 @@
         )
         return PromptTraits("m", SHARED + own, 2, parts)
 
-    def _ask(self, caller: Caller) -> None:
+    def _request(self, caller: Caller) -> None:
         planner = self._planners[caller.gateway]
-        left = ROUTE.timeout - timedelta(seconds=self._now - caller.came_at)
+        left = ROUTE.timeout - timedelta(seconds=self._now - caller.arrived_at)
         if left <= timedelta():
             return
         is_late = has_returned(ROUTE, left)
@@ -269,7 +275,7 @@
         caller.admitted_at, caller.was_late = self._now, is_late
         caller.expected = placement.expected_seconds
         ticket = planner.begin(caller.prompt, placement, 0, rank)
-        sending = SENDING * self._random.gammavariate(4, 0.25)
+        sending = NETWORK_DELAY * self._random.gammavariate(4, 0.25)
         self._after(sending, lambda: self._queue(caller, planner, ticket, rank))
 
     def _admit(
@@ -290,7 +296,7 @@
         caller.refusals += 1
         if caller.refusals == 1:
             back = draw_return(None, left, self._random)
-            self._after(back.total_seconds(), lambda: self._ask(caller))
+            self._after(back.total_seconds(), lambda: self._request(caller))
 
     def _queue(
         self, caller: Caller, planner: GenerationPlanner, ticket: Ticket, rank: int
@@ -298,48 +304,56 @@
         id = ticket.placement.reader.id
         engine = self._engines[id]
         seconds = self._measure(id, ticket, caller.prompt)
-        done = partial(self._read, caller, planner, ticket)
+        done = partial(self._note_prefilled, caller, planner, ticket)
         heappush(engine.waiting, (rank, next(self._order), seconds, done))
         if not engine.is_busy:
-            self._begin_reading(engine)
+            self._begin_prefill(engine)
 
     def _measure(self, id: str, ticket: Ticket, prompt: PromptTraits) -> float:
-        held = self._held[id]
+        cached_ids = self._cached[id]
         shared, own = prompt.parts
-        is_held = shared.id in held or ticket.placement.holder is not None
-        held.add(shared.id)
-        cached = shared.tokens if is_held else 0
-        seconds = _measure_reading(prompt.prompt_tokens - cached, cached)
+        is_cached = shared.id in cached_ids or ticket.placement.holder is not None
+        cached_ids.add(shared.id)
+        cached = shared.tokens if is_cached else 0
+        seconds = _measure_prefill(prompt.prompt_tokens - cached, cached)
         return seconds if ticket.placement.prefiller else seconds * SLOWDOWN
 
-    def _begin_reading(self, engine: _Engine) -> None:
+    def _begin_prefill(self, engine: _Engine) -> None:
         engine.is_busy = bool(engine.waiting)
         if engine.is_busy:
             _, _, seconds, done = heappop(engine.waiting)
-            self._after(seconds, lambda: self._end_reading(engine, done))
+            self._after(seconds, lambda: self._end_prefill(engine, done))
 
-    def _end_reading(self, engine: _Engine, done: Callable[[], None]) -> None:
+    def _end_prefill(self, engine: _Engine, done: Callable[[], None]) -> None:
         done()
-        self._begin_reading(engine)
+        self._begin_prefill(engine)
 
-    def _read(self, caller: Caller, planner: GenerationPlanner, ticket: Ticket) -> None:
-        caller.read_after = self._now - caller.admitted_at
+    def _note_prefilled(
+        self, caller: Caller, planner: GenerationPlanner, ticket: Ticket
+    ) -> None:
+        caller.prefilled_after = self._now - caller.admitted_at
         if ticket.placement.prefiller:
-            planner.learn_prefill(ticket, timedelta(seconds=caller.read_after))
+            planner.learn_prefill(ticket, timedelta(seconds=caller.prefilled_after))
             planner.end_prefill(ticket, is_handed_over=True)
         else:
             planner.end_prefill(ticket)
-        self._after(SENDING, lambda: self._generate(caller, planner, ticket, self._now))
+        self._after(
+            NETWORK_DELAY, lambda: self._generate(caller, planner, ticket, self._now)
+        )
 
     def _generate(
         self, caller: Caller, planner: GenerationPlanner, ticket: Ticket, began: float
     ) -> None:
-        """Have the engine generate once it has done so for those before."""
+        """Queue a generation at its decoder, after those that came before."""
         decoder = ticket.placement.decoder.id
-        generating = self._burst.generating
+        decode_seconds = self._burst.decode_seconds
         free_at = max(self._free_at.get(decoder, 0.0), self._now)
-        self._free_at[decoder] = free_at + generating
-        first = free_at + generating + FIRST * self._random.gammavariate(4, 0.25)
+        self._free_at[decoder] = free_at + decode_seconds
+        first = (
+            free_at
+            + decode_seconds
+            + FIRST_EVENT_DELAY * self._random.gammavariate(4, 0.25)
+        )
         self._at(
             first, lambda: self._answer(caller, planner, ticket, self._now - began)
         )
@@ -348,10 +362,10 @@
         self, caller: Caller, planner: GenerationPlanner, ticket: Ticket, took: float
     ) -> None:
         if not ticket.placement.prefiller:
-            took += caller.read_after
+            took += caller.prefilled_after
         planner.learn_first(ticket, timedelta(seconds=took))
         planner.end(ticket)
-        caller.answered_after = self._now - caller.came_at
+        caller.answered_after = self._now - caller.arrived_at
         if not caller.was_late:
             self._times[caller.gateway].note(
                 ROUTE,
@@ -360,8 +374,8 @@
                 self._clock.monotonic(),
             )
 
-    def _tell(self, number: int, end: float) -> None:
-        """Send a digest; the next one follows when something has changed."""
+    def _send_digest(self, number: int, end: float) -> None:
+        """Send a digest; the next one follows once something has changed."""
         if self._now > end:
             return
         self._numbers[number] += 1
@@ -373,23 +387,25 @@
             )
         self._changed[number] = False
         interval = max(BUSY_INTERVAL, len(self._recipients[number]) * PEER_INTERVAL)
-        self._after(interval.total_seconds(), lambda: self._look(number, end))
+        self._after(
+            interval.total_seconds(), lambda: self._send_if_changed(number, end)
+        )
 
-    def _look(self, number: int, end: float) -> None:
+    def _send_if_changed(self, number: int, end: float) -> None:
         if self._changed[number]:
-            self._tell(number, end)
+            self._send_digest(number, end)
         elif self._now <= end:
-            self._after(LOOK, lambda: self._look(number, end))
+            self._after(CHECK_INTERVAL, lambda: self._send_if_changed(number, end))
 
     def _note_change(self, number: int) -> None:
         self._changed[number] = True
 
 
-def _measure_reading(new: int, cached: int) -> float:
+def _measure_prefill(new: int, cached: int) -> float:
     pairs = new * (cached + new / 2)
     return STEP_SECONDS + new * TOKEN_SECONDS + pairs * PAIR_SECONDS
 
 
-def play(burst: Burst) -> Outcome:
-    """Play a load to its end."""
-    return _Play(burst).run()
+def simulate(burst: Burst) -> Outcome:
+    """Run the simulation of a load to its end."""
+    return _Simulation(burst).run()
--- a/packages/mustardquay-node/tests/test_configuration_loaders.py
+++ b/packages/mustardquay-node/tests/test_configuration_loaders.py
@@ -11,7 +11,7 @@
 
 @dataclass
 class Decoder:
-    """An adapter whose configurations are a number; notes what it decodes."""
+    """An adapter whose configurations are numbers; records what it decodes."""
 
     CONFIGURATION_KEY = "config"
     decoded: list = field(default_factory=list)
@@ -19,19 +19,19 @@
     def read_configuration(self, value):
         self.decoded.append(value)
         if not value.isdigit():
-            raise ProtocolError("The configuration can't be read; mend it.")
+            raise ProtocolError("The configuration can't be decoded; correct it.")
         return RoutingTable(int(value), (), {})
 
 
 def take(*rows):
-    """Take in rows in one read; returns the loader and what was decoded."""
+    """Apply rows of one read; return the loader and the decoded values."""
     clock, decoder = VirtualClock(), Decoder()
     loader = ConfigurationLoader(
         decoder,
         EventRing("g1", HybridClock(clock)),
         clock,
-        put=lambda table: None,
-        list_others=list,
+        activate=lambda table: None,
+        list_peer_versions=list,
         get_bound=lambda: timedelta(seconds=2),
     )
     loader.apply_rows(rows, is_whole=False)
@@ -39,14 +39,14 @@
 
 
 def test_of_several_versions_only_the_newest_is_decoded():
-    """Guards against a busy process that is late by versions nobody needs any more."""
+    """Guards against a busy process that is delayed by decoding superseded versions."""
     rows = [StoreRow("config", str(number).encode(), number) for number in (4, 6, 9)]
     loader, decoded = take(*rows)
     assert (loader.version, decoded) == (9, [b"9"])
 
 
 def test_the_newest_that_can_be_decoded_comes_into_force():
-    """Guards against a good version that is lost since a bad one came behind it."""
+    """Guards against skipping a valid version because an invalid one follows it."""
     loader, decoded = take(StoreRow("config", b"6", 6), StoreRow("config", b"{", 9))
     assert (loader.version, decoded) == (6, [b"{", b"6"])
 
--- a/packages/mustardquay-node/tests/test_engine_controls.py
+++ b/packages/mustardquay-node/tests/test_engine_controls.py
@@ -1,4 +1,4 @@
-"""Orders to engines over real sockets, with the stand-ins of engine and tables."""
+"""Orders to engines over real sockets, with stand-ins for the engine and the tables."""
 
 import asyncio
 from datetime import timedelta
@@ -28,7 +28,7 @@
 
 
 class Site:
-    """One engine, its agent and one entry, as far as control goes."""
+    """One engine, its agent and the controlling part of one entry."""
 
     def __init__(self):
         self.clock = VirtualClock()
@@ -111,7 +111,7 @@
             self.clock.advance(timedelta(seconds=1))
             if condition():
                 return
-        raise AssertionError("the state was not reached")
+        raise AssertionError("the condition was not met in time")
 
     def check(self):
         counters = self.engine.counters.orders
@@ -127,7 +127,7 @@
     await site.close()
 
 
-async def test_the_engine_client_speaks_the_protocol(site):
+async def test_the_engine_client_follows_the_protocol(site):
     engine = HttpEngine(site.engine.url)
     await engine.start()
     try:
@@ -165,10 +165,10 @@
 
 @pytest.mark.fault
 async def test_an_agent_is_replaced_during_a_model_load(site):
-    """Two agents would order one engine about while it loads a model.
+    """Guards against two agents that both give orders to an engine loading a model.
 
-    The weight store holds the load up, the agent dies, and its successor finds the
-    engine changing. The first wakes up later and gives no order.
+    The weight store delays the load, the agent fails, and its successor finds the
+    engine changing. When the first agent resumes later, it must not give an order.
     """
     first = await site.make_agent(1)
     await site.run_until(first, lambda: first.ready and site.entry.engines)
@@ -202,8 +202,8 @@
 
 
 @pytest.mark.fault
-async def test_an_engine_that_crashes_under_an_order_is_mended(site):
-    """Callers would be answered by an engine that has lost half of its models."""
+async def test_an_engine_that_crashes_during_an_order_is_restored(site):
+    """Guards against routing callers to an engine that lacks half of its models."""
     agent = await site.make_agent(1)
     await site.run_until(agent, lambda: agent.ready and site.entry.engines)
     await site.apply_release("2")
--- a/packages/mustardquay-node/tests/test_generation_planners.py
+++ b/packages/mustardquay-node/tests/test_generation_planners.py
@@ -57,15 +57,15 @@
 
 
 def make_busy(planner):
-    """Have the engine that generates run 30 streams of another gateway."""
+    """Have the decoder run 30 streams of another gateway."""
     planner.apply_digest(PeerDigest("g9", 1, 1, 1, (EngineDigest("d", (0.0,), 30),)))
 
 
-def test_a_prompt_that_waits_to_be_read_holds_no_place_at_the_other_engine():
-    """Drafts are refused although half of the places are free.
+def test_a_prompt_waiting_for_its_prefill_occupies_no_decoder_slot():
+    """Guards against refusals of long answers while half of the slots are free.
 
-    In a burst some 30 prompts wait to be read at any time, and were counted as if
-    they were being generated.
+    In a burst some 30 prompts wait for their prefill at any time. They were counted as
+    if they were being generated.
     """
     planner = make_planner()
     make_busy(planner)
@@ -73,18 +73,18 @@
     for number in range(64):
         prompt = make_prompt(number)
         tickets.append(planner.begin(prompt, planner.choose(prompt, ENGINES, ())))
-    apart = [each for each in tickets if each.placement.prefiller]
-    assert len(apart) > 32
-    running = 30 + len(tickets) - len(apart)
+    separate = [each for each in tickets if each.placement.prefiller]
+    assert len(separate) > 32
+    running = 30 + len(tickets) - len(separate)
     assert planner.choose(PROMPT, ENGINES, ()).occupancy == running / 64
-    planner.end_prefill(apart[0], is_handed_over=True)
+    planner.end_prefill(separate[0], is_handed_over=True)
     assert planner.count_streams("d") == running + 1
     for ticket in tickets:
         planner.end(ticket)
     assert planner.count_streams("d") == 30
 
 
-def test_what_is_outstanding_is_told_and_taken_back():
+def test_outstanding_work_is_reported_and_withdrawn():
     planner = make_planner()
     make_busy(planner)
     ticket = planner.begin(PROMPT, planner.choose(PROMPT, ENGINES, ()))
@@ -106,11 +106,11 @@
     for n in range(count)
 ]
 BODY = 18_000
-"""Bytes of a long prompt."""
+"""Size of a long prompt in bytes."""
 
 
-def play_burst(planner, clock, uplink, seconds, per_second):
-    """Place long prompts; returns how long each had to wait for the link, and where."""
+def place_burst(planner, clock, uplink, seconds, per_second):
+    """Place long prompts; return each one's wait for the uplink, and their readers."""
     waits, readers = [], Counter()
     ended = deque()
     for number in range(int(seconds * per_second)):
@@ -129,19 +129,20 @@
 
 
 def test_a_burst_of_long_prompts_does_not_wait_for_a_slow_link():
-    """Verdicts of one availability zone come a second late while engines are idle.
+    """Guards against short answers that are a second late while engines are idle.
 
-    The gateways there have links of 14 Mbit/s. Each of 70 prompts a second left them
-    twice, to be read and to be generated from: 20 Mbit/s, and the queue only grew.
+    The gateways of one availability zone have uplinks of 14 Mbit/s. Each of 70 prompts
+    a second was sent twice, for its prefill and its generation, which takes 20 Mbit/s,
+    so that the queue of the uplink grew without limit.
     """
     clock, uplink = VirtualClock(), Uplink(14)
     planner = GenerationPlanner(
         clock, UpstreamList(), LoadBook(), make_models(), uplink
     )
     planner.apply_table(TABLE)
-    waits, readers = play_burst(planner, clock, uplink, 5, per_second=70)
+    waits, readers = place_burst(planner, clock, uplink, 5, per_second=70)
     assert max(waits) < timedelta(milliseconds=120)
-    # What the link has left is still used to keep streams undisturbed.
+    # The rest of the uplink is still used for prefills apart from running streams.
     assert readers[Stage.PREFILL] > 50
 
 
@@ -151,5 +152,5 @@
         clock, UpstreamList(), LoadBook(), make_models(), uplink
     )
     planner.apply_table(TABLE)
-    _, readers = play_burst(planner, clock, uplink, 5, per_second=70)
+    _, readers = place_burst(planner, clock, uplink, 5, per_second=70)
     assert readers[Stage.DECODE] == 0
--- a/packages/mustardquay-node/tests/test_metrics.py
+++ b/packages/mustardquay-node/tests/test_metrics.py
@@ -72,8 +72,8 @@
 
 
 async def test_a_gateway_serves_what_it_counted_before_the_first_page():
-    # The libraries of pages are loaded when one is first asked for; what was counted
-    # until then must be on it.
+    # The export libraries are loaded when a page is first requested; the page must
+    # include what was counted before.
     metrics = GatewayMetrics("g1", "linz")
     metrics.start(dict.fromkeys(GAUGES, lambda: 2.0))
     metrics.count_answer("front", "answered")
--- a/packages/mustardquay-node/tests/test_peers.py
+++ b/packages/mustardquay-node/tests/test_peers.py
@@ -15,21 +15,21 @@
 from mustardquay_node.peers import MAX_RECIPIENTS, PeerLink, list_recipients
 
 
-def test_each_gateway_of_a_large_fleet_is_told_by_some():
-    """Most gateways of a large fleet send their work to engines that are full.
+def test_each_gateway_of_a_large_fleet_receives_digests():
+    """Guards against gateways of a large fleet that place work on busy engines.
 
-    Each gateway told the same sixteen, the first by name; the others heard nobody and
-    placed work as if they were alone.
+    All gateways sent their digests to the same sixteen, the first by name. The others
+    received none and placed work as if they were alone.
     """
     names = [f"gateway-{number:03}" for number in range(100)]
-    told = {name: list_recipients(name, set(names) - {name}) for name in names}
+    recipients = {name: list_recipients(name, set(names) - {name}) for name in names}
     for name in names:
-        listeners = [each for each in names if name in told[each]]
-        assert len(listeners) == MAX_RECIPIENTS
-        assert name not in told[name]
+        senders = [each for each in names if name in recipients[each]]
+        assert len(senders) == MAX_RECIPIENTS
+        assert name not in recipients[name]
 
 
-def test_a_digest_tells_the_work_by_engine_and_rank():
+def test_a_digest_contains_the_work_by_engine_and_rank():
     engines = (
         EngineDigest("e1", (0.0, 0.012, 0.0, 0.5), 3),
         EngineDigest("e2", (), 1),
@@ -40,8 +40,8 @@
     assert decode_digest(encode_digest(digest)) == digest
 
 
-def test_a_datagram_of_another_layout_is_not_read():
-    """Guards against programs of two versions that misread each other."""
+def test_a_datagram_of_another_layout_is_ignored():
+    """Guards against misinterpreted digests between gateways of two versions."""
     message = digest_frames.SCHEMA.Digest.new_message()
     message.gateway = "g"
     message.layout = digest_frames.LAYOUT + 1
@@ -49,7 +49,7 @@
 
 
 @pytest.mark.parametrize("ends_in", [None, timedelta(), timedelta(seconds=6.5)])
-def test_a_digest_tells_whether_its_gateway_stops(ends_in):
+def test_a_digest_contains_whether_its_gateway_stops(ends_in):
     digest = PeerDigest(
         "g", 1, 2, 3, availability_zone="a", is_ready=False, ends_in=ends_in
     )
@@ -57,14 +57,14 @@
 
 
 @pytest.mark.parametrize("demands", [None, (), (ServiceDemand("llm", 7.5),)])
-def test_a_digest_tells_of_rate_limits(demands):
+def test_a_digest_contains_rate_limits(demands):
     limits = (LimitNotice("e1", 9.5, timedelta(milliseconds=40)),)
     digest = PeerDigest("g", 1, 2, 3, limits=limits, demands=demands)
     assert decode_digest(encode_digest(digest)) == digest
 
 
 class Store:
-    """Takes the addresses of gateways."""
+    """A store that records the writes of registrations."""
 
     def __init__(self):
         self.writes = []
@@ -73,23 +73,24 @@
         self.writes += transaction.writes
 
 
-def make_link(name, store, hear):
+def make_link(name, store, apply_digest):
     clock = SystemClock()
     events = EventRing(name, HybridClock(clock), 100)
 
     def build():
         return PeerDigest(name, 1, 1, 1)
 
-    return PeerLink(name, "127.0.0.1:0", store, clock, events, build, hear)
+    return PeerLink(name, "127.0.0.1:0", store, clock, events, build, apply_digest)
 
 
-async def test_gateways_hear_of_an_engine_that_changes_before_it_is_ordered():
-    """Callers are refused by an engine that has just been ordered to change.
+async def test_gateways_are_notified_before_an_engine_is_ordered_to_change():
+    """Guards against refusals by an engine that was just ordered to change its stage.
 
-    With many peers digests are 160 ms apart, and the order follows its notice by 90.
+    With many peers, digests are 160 ms apart, but an order follows 90 ms after its
+    notice.
     """
-    store, heard = Store(), asyncio.Queue()
-    links = [make_link(name, store, heard.put_nowait) for name in ("a", "b")]
+    store, received = Store(), asyncio.Queue()
+    links = [make_link(name, store, received.put_nowait) for name in ("a", "b")]
     for link in links:
         await link.start()
     try:
@@ -99,11 +100,11 @@
             address = next(each for each in store.writes if each.key == "b").value
             links[0].take_rows([StoreRow("b", orjson.dumps(address), 1)], True)
             links[0].send_now()
-            await heard.get()
+            await received.get()
         links[0].send_now()
-        # Less than the time to the next digest of an idle gateway.
+        # Less than the usual interval between digests of an idle gateway.
         async with asyncio.timeout(0.3):
-            assert (await heard.get()).gateway == "a"
+            assert (await received.get()).gateway == "a"
     finally:
         for link in links:
             await link.close()
--- a/packages/mustardquay-node/tests/test_programs.py
+++ b/packages/mustardquay-node/tests/test_programs.py
@@ -1,25 +1,25 @@
-"""Programs are told things before they are there."""
+"""Signals that a program receives while it starts."""
 
 import os
 import signal
 import subprocess
 import sys
 
-LOADED = 7
-"""Exit code of a program whose modules were loaded."""
+SURVIVED = 7
+"""Exit code of a program that survived the signal."""
 
 
-def test_a_call_to_read_settings_does_not_end_a_program_that_starts(tmp_path):
-    """A gateway is gone for good after new settings were written twice.
+def test_a_reload_request_does_not_terminate_a_starting_program(tmp_path):
+    """Guards against a gateway that is terminated when settings change twice quickly.
 
-    It is started, and told to read its settings again while it still loads its
-    modules; SIGHUP ends a process that has not said what to do with it.
+    The gateway is started and then receives SIGHUP, to reload its settings, while it
+    still imports its modules. Without a handler, SIGHUP terminates a process.
     """
     number = int(signal.SIGHUP)
-    lines = f"import os\nos.kill(os.getpid(), {number})\nos._exit({LOADED})\n"
-    # Loaded early among the modules of the program.
+    lines = f"import os\nos.kill(os.getpid(), {number})\nos._exit({SURVIVED})\n"
+    # Replaces a module that the program imports early.
     (tmp_path / "asyncio.py").write_text(lines)
     path = f"{tmp_path}{os.pathsep}{os.environ.get('PYTHONPATH', '')}"
     command = [sys.executable, "-m", "mustardquay_node.programs", "missing.ini"]
     ended = subprocess.run(command, env=os.environ | {"PYTHONPATH": path}, timeout=60)
-    assert ended.returncode == LOADED
+    assert ended.returncode == SURVIVED
--- a/packages/mustardquay-node/tests/test_stage_controllers.py
+++ b/packages/mustardquay-node/tests/test_stage_controllers.py
@@ -22,12 +22,12 @@
 ]
 
 
-async def reach_nobody(engine, call):
-    """Call an engine that does not answer."""
+async def call_unreachable(engine, call):
+    """Stand in for a call to an engine that does not answer."""
 
 
 class Fleet:
-    """A controller, its store, and engines, of which none generates after `lose`."""
+    """A controller, its store and engines; none generates after `lose_decoders`."""
 
     def __init__(self):
         self.clock = VirtualClock()
@@ -54,14 +54,14 @@
             upstreams=self.upstreams,
             is_lost=lambda id: False,
             list_services=lambda: ["llm"],
-            call=reach_nobody,
+            call=call_unreachable,
             count_streams=lambda id: 0,
             measure_capacities=lambda engines: {},
             announce_changing=lambda ids: None,
             is_serving=lambda: True,
         )
 
-    def lose(self):
+    def lose_decoders(self):
         for engine in READERS:
             self.upstreams.put(engine)
 
@@ -74,7 +74,7 @@
         transaction = lease.propose(self.clock.monotonic())
         lease.settle(await self.store.transact(transaction), transaction)
 
-    def is_taken(self):
+    def is_lease_taken(self):
         return any(each.kind == "lease.taken" for each in self.events.list_events())
 
 
@@ -83,25 +83,26 @@
 
 
 async def test_a_holder_that_died_long_ago_is_replaced_without_waiting_out_its_term():
-    """For 18 s nobody gets an answer, as three engines read and none generates.
+    """Guards against 18 s without answers, as three engines prefill and none generates.
 
-    The gateway that held the lease was restarted. Another one first looked at the
-    lease when the change was due and waited for the term; before it was over, all
-    processes were killed, and the next ones began to wait only once they had settled.
+    The gateway that held the lease was restarted. Another one first observed the lease
+    when the change was due and waited out its term. Before the term was over, all
+    processes were killed, and their successors began to wait only after their startup
+    delay.
     """
     fleet = Fleet()
     await fleet.renew_as_another(make_other())
     await fleet.controller.run_once()
     fleet.clock.advance(LEASE_TERM + timedelta(milliseconds=1))
-    fleet.lose()
+    fleet.lose_decoders()
     await fleet.controller.run_once()
-    assert fleet.is_taken()
+    assert fleet.is_lease_taken()
 
 
 async def test_a_holder_that_renewed_since_is_waited_for():
-    """Two gateways order one engine within the time that the platform forbids.
+    """Guards against orders of two gateways within the time that the platform forbids.
 
-    The lease was seen ten seconds ago, and its holder has renewed it since.
+    The lease was observed ten seconds ago, and its holder has renewed it since.
     """
     fleet = Fleet()
     other = make_other()
@@ -109,14 +110,14 @@
     await fleet.controller.run_once()
     fleet.clock.advance(LEASE_TERM * 2)
     await fleet.renew_as_another(other)
-    fleet.lose()
+    fleet.lose_decoders()
     for _ in range(4):
         await fleet.controller.run_once()
-        assert not fleet.is_taken()
+        assert not fleet.is_lease_taken()
         fleet.clock.advance(LEASE_TERM / 4 - timedelta(milliseconds=1))
     fleet.clock.advance(timedelta(seconds=1))
     await fleet.controller.run_once()
-    assert fleet.is_taken()
+    assert fleet.is_lease_taken()
 
 
 class CountingController(StageController):
@@ -128,11 +129,11 @@
         self.runs += 1
 
 
-async def test_an_engine_that_leaves_is_replaced_at_once():
-    """All generations are refused for 1.5 s.
+async def test_a_draining_decoder_is_replaced_at_once():
+    """Guards against 1.5 s in which all generations are refused.
 
-    One of two engines that generate leaves, and the other one crashes three seconds
-    later. The order to a third one came 1.7 s after the first had said that it leaves.
+    One of two decoders drains, and the other one crashes three seconds later. The order
+    to a third engine was given 1.7 s after the first one had announced that it drains.
     """
     controller = CountingController("g-1", Fleet()._make_dependencies())
     controller.start()
@@ -141,11 +142,11 @@
     controller.check_now()
     await asyncio.sleep(0.75)
     await controller.close()
-    # The planner waits 0.3 s between the turn that sees the lack and the order.
+    # The planner waits 0.3 s between the run that detects the loss and the order.
     assert controller.runs >= 3
 
 
-async def test_at_rest_the_lease_is_seldom_looked_at():
+async def test_an_idle_controller_seldom_observes_the_lease():
     fleet = Fleet()
     for _ in range(30):
         await fleet.controller.run_once()
@@ -153,15 +154,15 @@
     assert fleet.store.counters.reads == 2 * 30 // OBSERVE_INTERVAL.seconds
 
 
-async def test_a_holder_gives_up_the_lease_as_the_store_comes_back_from_a_copy():
-    """Guards against two gateways that order: the copy may name another holder."""
+async def test_a_holder_gives_up_the_lease_when_the_store_is_restored():
+    """Guards against orders of two gateways: the copy may name another holder."""
     fleet = Fleet()
     fleet.store.era = 1
-    fleet.lose()
+    fleet.lose_decoders()
     await fleet.controller.run_once()
     fleet.clock.advance(LEASE_TERM)
     await fleet.controller.run_once()
-    assert fleet.is_taken()
+    assert fleet.is_lease_taken()
     fleet.store.era = 2
     fleet.controller.note_era()
     assert [
