--- a/packages/mustardquay-node/src/mustardquay_node/cache_probes.py
+++ b/packages/mustardquay-node/src/mustardquay_node/cache_probes.py
@@ -29,7 +29,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CacheProbeDependencies:
-    """Dependencies of a `CacheSurvey`."""
+    """Dependencies of a `CacheProbe`."""
 
     adapter: Adapter
     events: EventRing
--- a/packages/mustardquay-node/src/mustardquay_node/digest_exchanges.py
+++ b/packages/mustardquay-node/src/mustardquay_node/digest_exchanges.py
@@ -12,7 +12,7 @@
 from .gateway_stops import GatewayStop
 from .generation_planners import GenerationPlanner
 
-__all__ = ["DigestExchange", "DigestDependencies"]
+__all__ = ["DigestDependencies", "DigestExchange"]
 
 
 @dataclass(frozen=True, slots=True)
--- a/packages/mustardquay-node/src/mustardquay_node/gateway_feeds.py
+++ b/packages/mustardquay-node/src/mustardquay_node/gateway_feeds.py
@@ -43,7 +43,7 @@
     events: EventRing
     configurations: ConfigurationLoader
     upstreams: UpstreamListUpdater
-    take_peers: Callable[[Sequence[StoreRow], bool], None]
+    apply_peer_rows: Callable[[Sequence[StoreRow], bool], None]
 
 
 class GatewayFeeds:
@@ -96,7 +96,7 @@
 
     def _follow_peers(self) -> TableFeed:
         options = FeedOptions(PEERS_TABLE, PEERS_WAIT, PEERS_PAUSE)
-        return self._make_feed(options, FeedListener(self._deps.take_peers))
+        return self._make_feed(options, FeedListener(self._deps.apply_peer_rows))
 
     def _follow_upstreams(self) -> TableFeed:
         deps = self._deps
--- a/packages/mustardquay-node/src/mustardquay_node/gateways.py
+++ b/packages/mustardquay-node/src/mustardquay_node/gateways.py
@@ -165,7 +165,7 @@
                 "settings.short_drain",
                 drain_ms=timeout // timedelta(milliseconds=1),
                 least_ms=BALANCER_NOTICE // timedelta(milliseconds=1),
-                remedy="Raise drain_timeout; the balancer needs time to notice.",
+                remedy="Raise drain_timeout; callers arrive until the balancer reacts.",
             )
 
     async def close(self) -> None:
@@ -269,7 +269,7 @@
             events=self._events,
             configurations=self._configurations,
             upstreams=self._list_updater,
-            take_peers=self._peers.take_rows,
+            apply_peer_rows=self._peers.apply_rows,
         )
         return GatewayFeeds(deps)
 
--- a/packages/mustardquay-node/src/mustardquay_node/peers.py
+++ b/packages/mustardquay-node/src/mustardquay_node/peers.py
@@ -140,7 +140,7 @@
         """Send the next digest once the minimum interval since the last one is over."""
         self._changed.set()
 
-    def take_rows(self, rows: Sequence[StoreRow], is_whole: bool) -> None:
+    def apply_rows(self, rows: Sequence[StoreRow], is_whole: bool) -> None:
         """Apply rows of the table of gateways: all if `is_whole`, else changes."""
         if is_whole:
             self._peers.clear()
--- a/packages/mustardquay-node/src/mustardquay_node/stage_controllers.py
+++ b/packages/mustardquay-node/src/mustardquay_node/stage_controllers.py
@@ -1,10 +1,11 @@
 """Control of the stages of engines by the one gateway that holds a lease.
 
-These engines don't check fencing tokens, so orders of two holders must be kept apart in
-time: after a renewal the holder may give orders only for `ORDER_VALIDITY`, while a
-challenger waits `LEASE_TERM` before it takes over. The lease is renewed just before an
-order. While no change is due, gateways only observe it from time to time, so that the
-absence of a failed holder is already established when a change becomes due.
+Engines that gateways control don't check fencing tokens, so orders of two holders must
+be kept apart in time: after a renewal the holder may give orders only for
+`ORDER_VALIDITY`, while a challenger waits `LEASE_TERM` before it takes over. The lease
+is renewed just before an order. While no change is due, gateways only observe it from
+time to time, so that the absence of a failed holder is already established when a
+change becomes due.
 """
 
 import asyncio
--- a/packages/mustardquay-node/tests/test_peers.py
+++ b/packages/mustardquay-node/tests/test_peers.py
@@ -98,7 +98,7 @@
             while len(store.writes) < 2:
                 await asyncio.sleep(0.01)
             address = next(each for each in store.writes if each.key == "b").value
-            links[0].take_rows([StoreRow("b", orjson.dumps(address), 1)], True)
+            links[0].apply_rows([StoreRow("b", orjson.dumps(address), 1)], True)
             links[0].send_now()
             await received.get()
         links[0].send_now()
