--- a/packages/mustardquay-node/src/mustardquay_node/era_watches.py
+++ b/packages/mustardquay-node/src/mustardquay_node/era_watches.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable
 
 from mustardquay.events import EventRing
-from mustardquay.store_eras import EraBook, EraNews
+from mustardquay.store_eras import EraChange, EraTracker
 
 __all__ = ["EraWatch"]
 
@@ -16,14 +16,14 @@
 
     def __init__(self, events: EventRing):
         self._events = events
-        self._book = EraBook()
+        self._tracker = EraTracker()
         self._listeners: list[Callable[[], None]] = []
         self._unreadable = ""
 
     @property
     def era(self) -> int:
         """Return the newest era that the store has reported, 0 before the first."""
-        return self._book.current or 0
+        return self._tracker.current or 0
 
     def listen(self, listener: Callable[[], None]) -> None:
         """Register a function to call at each new era."""
@@ -37,11 +37,11 @@
         if era is None:
             return True
         before = self.era
-        news = self._book.take(era)
-        if news is EraNews.OVER:
+        change = self._tracker.observe(era)
+        if change is EraChange.OUTDATED:
             self._events.record("store.era_over", era=era, newest=before)
             return False
-        if news is EraNews.NEW:
+        if change is EraChange.NEW:
             self._events.record("store.era", era=era, before=before)
             for listener in self._listeners:
                 listener()
--- a/packages/mustardquay-node/src/mustardquay_node/generation_planners.py
+++ b/packages/mustardquay-node/src/mustardquay_node/generation_planners.py
@@ -10,25 +10,25 @@
 from random import Random
 
 from mustardquay.clocks import Clock
-from mustardquay.engine_books import (
-    EngineBooks,
+from mustardquay.engine_models import EngineModels
+from mustardquay.engine_samples import make_sample
+from mustardquay.engine_states import (
+    EngineStates,
     HashedPart,
-    PrefixBook,
-    WorkBook,
+    OutstandingWork,
+    PrefixCaches,
     hash_parts,
 )
-from mustardquay.engine_models import EngineModels
-from mustardquay.engine_samples import make_sample
 from mustardquay.generation_limits import LATE_RANK
-from mustardquay.kept_readings import ReadingLoss, find_loss
-from mustardquay.peer_books import EngineDigest, PeerDigest, PlacedPart, trim_ranks
+from mustardquay.peer_digests import EngineDigest, PeerDigest, PlacedPart, trim_ranks
 from mustardquay.placements import Placement, choose_decoder, choose_engines
 from mustardquay.rate_limits import LimitBook, Turn
 from mustardquay.requests import PromptPart, PromptTraits
+from mustardquay.retained_prefills import PrefillLoss, find_prefill_loss
 from mustardquay.routing_tables import Route, RoutingTable
 from mustardquay.uplinks import Uplink
 from mustardquay.upstream_lists import UpstreamList, UpstreamRecord
-from mustardquay.upstream_loads import LoadBook
+from mustardquay.upstream_loads import UpstreamLoads
 
 from .adapters import Prefilled
 from .peers import MAX_PLACED_PARTS
@@ -70,7 +70,7 @@
         self,
         clock: Clock,
         upstreams: UpstreamList,
-        loads: LoadBook,
+        loads: UpstreamLoads,
         models: EngineModels | None = None,
         uplink: Uplink | None = None,
         limits: LimitBook | None = None,
@@ -88,8 +88,8 @@
         self._uplink = uplink or Uplink()
         self._models = models or EngineModels()
         self._limits = limits or LimitBook()
-        self._books = EngineBooks(
-            loads, WorkBook(), PrefixBook(), self._models, limits=self._limits
+        self._states = EngineStates(
+            loads, OutstandingWork(), PrefixCaches(), self._models, limits=self._limits
         )
         self._placed: list[PlacedPart] = []
         self._changing: set[str] = set()
@@ -108,7 +108,7 @@
         Engines prefill it before all prompts of a higher `rank`.
         """
         now = self._clock.monotonic()
-        self._books.works.peers.expire(now)
+        self._states.works.peers.expire(now)
         parts = hash_parts(prompt.parts)
         engines = self._exclude_changing(engines)
         sending = self._uplink.measure(size, now)
@@ -116,7 +116,7 @@
             prompt,
             parts,
             engines,
-            self._books,
+            self._states,
             now,
             avoid,
             sending,
@@ -135,7 +135,7 @@
         """
         now = self._clock.monotonic()
         usable = self._exclude_changing(engines)
-        decoder = choose_decoder(usable, self._books, now, avoid)
+        decoder = choose_decoder(usable, self._states, now, avoid)
         if decoder is None:
             return False
         if decoder.id != ticket.placement.decoder.id:
@@ -148,7 +148,7 @@
     def _exclude_changing(
         self, engines: Sequence[UpstreamRecord]
     ) -> Sequence[UpstreamRecord]:
-        changing = self._changing | self._books.works.peers.list_changing()
+        changing = self._changing | self._states.works.peers.list_changing()
         return [engine for engine in engines if engine.id not in changing]
 
     def begin(
@@ -162,8 +162,8 @@
         sends = 1 if placement.prefiller is None else 2
         self._uplink.take(size * sends, self._clock.monotonic())
         reader = placement.reader.id
-        self._add_prefill_work(reader, placement.read_seconds, rank)
-        self._models.note_placed(placement.reader.service, placement.read_seconds)
+        self._add_prefill_work(reader, placement.prefill_seconds, rank)
+        self._models.note_placed(placement.reader.service, placement.prefill_seconds)
         parts = hash_parts(prompt.parts)
         # Before the prefill has ended, so that the next prompts with them go there too.
         self._note_placed_parts(placement.reader, parts)
@@ -190,7 +190,7 @@
         ticket.is_prefilled = True
         placement = ticket.placement
         self._add_prefill_work(
-            placement.reader.id, -placement.read_seconds, ticket.rank
+            placement.reader.id, -placement.prefill_seconds, ticket.rank
         )
         if is_handed_over:
             self._note_copying(ticket)
@@ -200,16 +200,16 @@
         prefill: RetainedPrefill,
         engines: Sequence[UpstreamRecord],
         avoid: Collection[str],
-    ) -> ReadingLoss | None:
+    ) -> PrefillLoss | None:
         """Return why no other engine can use a retained prefill, None if one can."""
         now = self._clock.monotonic()
         ticket = prefill.ticket
-        return find_loss(
+        return find_prefill_loss(
             ticket.placement.reader,
             ticket.parts,
             self.must_copy_from_cache(prefill),
             self._exclude_changing(engines),
-            self._books,
+            self._states,
             now,
             avoid,
         )
@@ -222,7 +222,7 @@
         """
         reader = prefill.ticket.placement.reader.id
         now = self._clock.monotonic()
-        is_expired = self._books.loads.has_lapsing_handles(reader, now)
+        is_expired = self._states.loads.has_expired_handles(reader, now)
         return prefill.is_handle_used or is_expired
 
     def reassign_decoder(
@@ -230,7 +230,7 @@
         prefill: RetainedPrefill,
         engines: Sequence[UpstreamRecord],
         avoid: Collection[str],
-    ) -> ReadingLoss | None:
+    ) -> PrefillLoss | None:
         """Reassign a prompt to another decoder; return why that fails, or None."""
         loss = self.find_prefill_loss(prefill, engines, avoid)
         if loss is not None:
@@ -238,7 +238,7 @@
         old = prefill.ticket
         ticket = Ticket(old.placement, old.parts, old.rank, is_prefilled=True)
         if not self.reselect_decoder(ticket, engines, avoid):
-            return ReadingLoss.NO_GENERATOR
+            return PrefillLoss.NO_GENERATOR
         self._note_copying(ticket)
         prefill.ticket = ticket
         return None
@@ -250,19 +250,19 @@
 
     def _add_prefill_work(self, engine: str, seconds: float, rank: int) -> None:
         self._note_change()
-        outstanding = self._books.works.get(engine).seconds
+        outstanding = self._states.works.get(engine).seconds
         outstanding[rank] = max(outstanding[rank] + seconds, 0.0)
 
     def _occupy_slot(self, ticket: Ticket) -> None:
         ticket.is_running = True
         self._note_change()
-        self._books.works.get(ticket.placement.decoder.id).running += 1
+        self._states.works.get(ticket.placement.decoder.id).running += 1
 
     def _note_placed_parts(
         self, engine: UpstreamRecord, parts: Sequence[HashedPart]
     ) -> None:
         """Note which engine has the parts, here and for the next digest."""
-        self._books.prefixes.note(engine.id, engine.stage, parts)
+        self._states.prefixes.note(engine.id, engine.stage, parts)
         self._placed += [PlacedPart(engine.id, *part) for part in parts]
         del self._placed[:-MAX_PLACED_PARTS]
 
@@ -274,28 +274,28 @@
                 self._limits.release(reservation)
         if ticket.is_running:
             self._note_change()
-            work = self._books.works.get(ticket.placement.decoder.id)
+            work = self._states.works.get(ticket.placement.decoder.id)
             work.running = max(work.running - 1, 0)
 
     def apply_digest(self, digest: PeerDigest) -> None:
         """Apply the outstanding work and placements of another gateway."""
-        if not self._books.works.peers.hear(digest, self._clock.monotonic()):
+        if not self._states.works.peers.apply_digest(digest, self._clock.monotonic()):
             return
-        self._models.hear(digest.speeds, self._clock.monotonic())
+        self._models.adopt_speeds(digest.speeds, self._clock.monotonic())
         for part in digest.placed:
             engine = self._upstreams.get(part.engine)
             if engine is not None:
                 hashed = ((part.part, part.tokens),)
-                self._books.prefixes.note(engine.id, engine.stage, hashed)
+                self._states.prefixes.note(engine.id, engine.stage, hashed)
 
     def set_gateway_counts(self, senders: int, others: int) -> None:
         """Note how many gateways send digests here, and how many others there are."""
-        self._books.works.peers.unheard_ratio = others / senders if senders else 0.0
+        self._states.works.peers.unreported_ratio = others / senders if senders else 0.0
         self._sample = make_sample(self._random, 1 + senders + others)
 
     def list_configurations(self) -> list[int]:
         """Return the configuration version of each of the other gateways."""
-        peers = self._books.works.peers
+        peers = self._states.works.peers
         peers.expire(self._clock.monotonic())
         return peers.list_configurations()
 
@@ -307,7 +307,7 @@
         named = {part.engine for part in placed}
         engines = tuple(
             EngineDigest(id, trim_ranks(work.seconds), work.running)
-            for id, work in self._books.works.works.items()
+            for id, work in self._states.works.works.items()
             if work.running or any(work.seconds) or id in named
         )
         return PeerDigest(
@@ -318,7 +318,7 @@
             engines,
             placed,
             tuple(sorted(self._changing)),
-            speeds=self._models.tell(),
+            speeds=self._models.export_speeds(),
         )
 
     def set_changing(self, engines: Collection[str]) -> None:
@@ -327,29 +327,29 @@
 
     def count_streams(self, engine: str) -> int:
         """Return the number of generations of all gateways running at an engine."""
-        return self._books.works.sum_running(engine)
+        return self._states.works.sum_running(engine)
 
     def add_cached_parts(
         self, engine: UpstreamRecord, parts: Sequence[PromptPart]
     ) -> None:
         """Note the parts that an engine reports as cached."""
-        self._books.prefixes.note(engine.id, engine.stage, hash_parts(parts))
+        self._states.prefixes.note(engine.id, engine.stage, hash_parts(parts))
 
     def forget(self, id: str) -> None:
         """Discard the state of an engine that was removed or restarted."""
-        self._books.works.works.pop(id, None)
-        self._books.prefixes.caches.pop(id, None)
+        self._states.works.works.pop(id, None)
+        self._states.prefixes.caches.pop(id, None)
         self._models.forget(id)
 
     def apply_table(self, table: RoutingTable) -> None:
         """Apply what the configuration declares of engines and of routes to them."""
-        self._books.pauses.clear()
-        self._books.pauses.update(find_pauses(table.routes))
+        self._states.pauses.clear()
+        self._states.pauses.update(find_pauses(table.routes))
         for service in table.services.values():
             engine = service.engine
             if engine is None:
                 continue
-            self._books.prefixes.capacity = engine.kv_tokens
+            self._states.prefixes.capacity = engine.kv_tokens
             self._models.set_traits(
                 service.name, engine.steps_per_event, engine.copy_seconds
             )
@@ -363,9 +363,9 @@
         if ticket.rank >= LATE_RANK:
             return
         placement = ticket.placement
-        self._models.learn_read(
+        self._models.learn_prefill(
             placement.reader,
-            placement.reading,
+            placement.prefill,
             placement.wait_seconds,
             took.total_seconds(),
             self._clock.monotonic(),
@@ -376,14 +376,14 @@
         """Learn from the time from a generation's start to its first event."""
         placement = ticket.placement
         engine = placement.decoder
-        streams = self._books.works.sum_running(engine.id)
+        streams = self._states.works.sum_running(engine.id)
         seconds = took.total_seconds()
         if placement.prefiller is not None:
             self._models.learn_first(engine.service, streams, seconds)
             return
-        self._models.learn_alone(
+        self._models.learn_combined(
             engine,
-            placement.reading,
+            placement.prefill,
             streams,
             seconds,
             self._clock.monotonic(),
@@ -392,7 +392,7 @@
 
     def learn_pause(self, engine: UpstreamRecord, pause: timedelta) -> None:
         """Learn from the mean time between events of a stream that has ended."""
-        streams = self._books.works.sum_running(engine.id)
+        streams = self._states.works.sum_running(engine.id)
         self._models.learn_pause(engine.service, streams, pause.total_seconds())
 
     def count_samples(self, service: str) -> float:
--- a/packages/mustardquay-node/src/mustardquay_node/peers.capnp
+++ b/packages/mustardquay-node/src/mustardquay_node/peers.capnp
@@ -1,5 +1,5 @@
 @0xb7e21c5a9d3f4408;
-# Datagrams between gateways; mustardquay.peer_books documents their meaning.
+# Datagrams between gateways; mustardquay.peer_digests documents their meaning.
 
 struct Crash {
   upstream @0 :Text;
--- a/packages/mustardquay-node/src/mustardquay_node/stage_controllers.py
+++ b/packages/mustardquay-node/src/mustardquay_node/stage_controllers.py
@@ -17,7 +17,7 @@
 from mustardquay.clocks import Clock
 from mustardquay.errors import MustardquayError
 from mustardquay.events import EventRing
-from mustardquay.leases import BEATS, LEASES, Lease, LeaseRows
+from mustardquay.leases import HEARTBEATS, LEASES, Lease, LeaseRows
 from mustardquay.stage_plans import StageChange, StagePlanner
 from mustardquay.upstream_lists import Stage, UpstreamList, UpstreamRecord
 
@@ -225,12 +225,12 @@
         self._observed_at = deps.clock.monotonic()
         lease = await deps.store.read(LEASES, LEASE_DOMAIN)
         era = deps.store.era
-        beat = await deps.store.read(BEATS, LEASE_DOMAIN)
+        heartbeat = await deps.store.read(HEARTBEATS, LEASE_DOMAIN)
         if deps.store.era != era:
             # The store was restored between the two reads.
             self.note_era()
             return
-        rows = LeaseRows(lease, beat, era)
+        rows = LeaseRows(lease, heartbeat, era)
         self._lease.observe(rows, deps.clock.monotonic())
 
     async def _renew(self) -> bool:
@@ -242,7 +242,7 @@
             return False
         fence = self._lease.order_fence
         result = await store.transact(transaction)
-        self._lease.settle(result, transaction, deps.clock.monotonic())
+        self._lease.handle_result(result, transaction, deps.clock.monotonic())
         if self._lease.order_fence != fence:
             number = self._lease.order_fence.number
             deps.events.record("lease.taken", domain=LEASE_DOMAIN, fence=number)
--- a/packages/mustardquay-node/tests/simulated_bursts.py
+++ b/packages/mustardquay-node/tests/simulated_bursts.py
@@ -13,20 +13,20 @@
 from itertools import count
 from random import Random
 
-from mustardquay.answer_times import AnswerTimes
 from mustardquay.clocks import VirtualClock
 from mustardquay.generation_limits import (
     admits_generation,
     admits_late,
-    draw_return,
-    has_returned,
+    draw_retry_delay,
+    is_retry,
     rank_generation,
 )
+from mustardquay.latency_margins import LatencyMargins
 from mustardquay.placements import Placement
 from mustardquay.requests import PromptPart, PromptTraits
 from mustardquay.routing_tables import Backend, Repeat, Route, RoutingTable
 from mustardquay.upstream_lists import Stage, UpstreamList, UpstreamRecord
-from mustardquay.upstream_loads import LoadBook
+from mustardquay.upstream_loads import UpstreamLoads
 from mustardquay_node.generation_planners import GenerationPlanner, Ticket
 from mustardquay_node.peers import BUSY_INTERVAL, PEER_INTERVAL, list_recipients
 
@@ -178,7 +178,7 @@
         self._changed = [False] * burst.gateways
         self._planners = [self._make_planner(n) for n in range(burst.gateways)]
         self._recipients = [self._list_recipients(n) for n in range(burst.gateways)]
-        self._times = [AnswerTimes() for _ in self._names]
+        self._margins = [LatencyMargins() for _ in self._names]
         self._numbers = [0] * burst.gateways
         self._free_at: dict[str, float] = {}
         """When each decoder will have finished the generations in its queue."""
@@ -227,7 +227,7 @@
         planner = GenerationPlanner(
             self._clock,
             upstreams,
-            LoadBook(),
+            UpstreamLoads(),
             note_change=lambda: self._note_change(number),
             random=self._random,
         )
@@ -263,7 +263,7 @@
         left = ROUTE.timeout - timedelta(seconds=self._now - caller.arrived_at)
         if left <= timedelta():
             return
-        is_late = has_returned(ROUTE, left)
+        is_late = is_retry(ROUTE, left)
         placement = self._admit(caller, left, is_late)
         if placement is None and not is_late:
             is_late = True
@@ -287,15 +287,15 @@
         if is_late:
             is_admitted = admits_late(ROUTE, placement, left)
         else:
-            times = self._times[caller.gateway]
-            rest = times.find_rest(ROUTE, self._clock.monotonic())
-            is_admitted = admits_generation(ROUTE, placement, left, rest)
+            margins = self._margins[caller.gateway]
+            margin = margins.find_margin(ROUTE, self._clock.monotonic())
+            is_admitted = admits_generation(ROUTE, placement, left, margin)
         return placement if is_admitted else None
 
     def _refuse(self, caller: Caller, left: timedelta) -> None:
         caller.refusals += 1
         if caller.refusals == 1:
-            back = draw_return(None, left, self._random)
+            back = draw_retry_delay(None, left, self._random)
             self._after(back.total_seconds(), lambda: self._request(caller))
 
     def _queue(
@@ -367,7 +367,7 @@
         planner.end(ticket)
         caller.answered_after = self._now - caller.arrived_at
         if not caller.was_late:
-            self._times[caller.gateway].note(
+            self._margins[caller.gateway].note(
                 ROUTE,
                 timedelta(seconds=caller.expected),
                 timedelta(seconds=self._now - caller.admitted_at),
