--- a/packages/mustardquay-node/src/mustardquay_node/digest_exchanges.py
+++ b/packages/mustardquay-node/src/mustardquay_node/digest_exchanges.py
@@ -72,7 +72,7 @@
         """
         deps = self._deps
         deps.planner.apply_digest(digest)
-        deps.stop.hear(digest)
+        deps.stop.apply_digest(digest)
         deps.crashes.merge(digest.crashes)
         self._apply_limits(digest)
         if deps.configurations.note_peer_version(digest.gateway, digest.configuration):
--- a/packages/mustardquay-node/src/mustardquay_node/forwarder_parts.py
+++ b/packages/mustardquay-node/src/mustardquay_node/forwarder_dependencies.py
@@ -1,4 +1,4 @@
-"""Forwarder parts: what the forwardings of one gateway share."""
+"""Shared dependencies of a gateway's requests, and the state of each request."""
 
 from collections.abc import Callable
 from dataclasses import dataclass, field
@@ -24,12 +24,12 @@
 from .generation_planners import GenerationPlanner, RetainedPrefill
 from .upstream_pools import UpstreamPools
 
-__all__ = ["ForwardedRequest", "ForwarderParts"]
+__all__ = ["ForwardedRequest", "ForwarderDependencies"]
 
 
 @dataclass(slots=True)
-class ForwarderParts:
-    """The parts of one gateway, and whom to tell of what is counted."""
+class ForwarderDependencies:
+    """Dependencies shared by all requests of one gateway, and callbacks for metrics."""
 
     adapter: Adapter
     clock: Clock
@@ -43,7 +43,7 @@
     crashes: CrashReporter
     planner: GenerationPlanner
     stop: GatewayStop
-    judge_table: Callable[[], TableState]
+    find_table_state: Callable[[], TableState]
     times: RouteTimes = field(default_factory=RouteTimes)
     latency_margins: LatencyMargins = field(default_factory=LatencyMargins)
     count_answer: Callable[[str, str], None] = lambda route, outcome: None
@@ -51,46 +51,46 @@
     count_send: Callable[[str, str], None] = lambda route, end: None
     """Counts a send by route and by how it ended."""
     count_unused_prefill: Callable[[str], None] = lambda reason: None
-    """Counts a prompt that was read and nothing generated from, by the reason."""
+    """Counts a prefill from which nothing was generated, by the reason."""
     record_first_byte: Callable[[str, timedelta], None] = lambda route, duration: None
 
 
 @dataclass(slots=True)
 class ForwardedRequest:
-    """One request on its way, as all its stages know it."""
+    """One request, with the state that all its stages share."""
 
     incoming: CallerRequest
     facts: RequestFacts
     route: Route
     service: str
-    limit_at: timedelta
-    """When the caller or the route's timeout ends the wait, on the monotonic clock."""
+    deadline: timedelta
+    """When the caller's or the route's timeout expires, on the monotonic clock."""
     fingerprint: int
     begin_by: timedelta | None = None
-    """When the first part of the answer is due at the latest; None for the limit."""
-    sendings: Sendings = field(default_factory=Sendings)
+    """Deadline of the first part of the answer; None for `deadline`."""
+    send_history: Sendings = field(default_factory=Sendings)
     avoid: set[str] = field(default_factory=set)
-    """Upstreams that this request has been sent to."""
+    """Upstreams that this request was already sent to."""
     current: Exchange | None = None
-    """What runs now."""
+    """The exchange that is running."""
     upstream: str = ""
-    """The upstream that was sent to last."""
+    """The upstream of the last send."""
     last_end: str = "unanswered"
-    """How the last send that has ended did, a value of `SendResult`."""
-    was_cut_off: bool = False
-    """Whether a send that may have run was ended by the limit."""
+    """Result of the last send that has ended, a value of `SendResult`."""
+    was_interrupted: bool = False
+    """Whether a send that may have run was cancelled at the deadline."""
     is_late: bool = False
-    """Whether a generation can't be in time, so that others go first."""
+    """Whether a generation can't meet its latency target, so that others go first."""
     expected: timedelta | None = None
-    """When a generation that was admitted as in time was to be read, from then on."""
-    reading: RetainedPrefill | None = None
-    """What has been read for it by another engine than the one that generates."""
+    """Expected time to the first event of a generation that was admitted as in time."""
+    prefill: RetainedPrefill | None = None
+    """The prefill by another engine than the one that decodes."""
     last_event: str | None = None
-    """The last whole event that the caller has been sent."""
+    """Id of the last complete event that was sent to the caller."""
 
     @property
-    def most_tokens(self) -> int:
-        """Return how many tokens may be generated, 0 for plain services."""
+    def max_output_tokens(self) -> int:
+        """Return the limit of generated tokens, 0 for plain services."""
         prompt = self.facts.prompt if self.route.has_prompt else None
         return prompt.output_tokens if prompt is not None else 0
 
@@ -99,6 +99,6 @@
         """Return the caller's id of this attempt."""
         return self.facts.id
 
-    def measure_left(self, now: timedelta) -> timedelta:
-        """Return the time until the limit."""
-        return self.limit_at - now
+    def measure_time_left(self, now: timedelta) -> timedelta:
+        """Return the time until the deadline."""
+        return self.deadline - now
--- a/packages/mustardquay-node/src/mustardquay_node/gateways.py
+++ b/packages/mustardquay-node/src/mustardquay_node/gateways.py
@@ -24,13 +24,13 @@
 from .configuration_loaders import ConfigurationLoader
 from .digest_exchanges import DigestDependencies, DigestExchange
 from .era_watches import EraWatch
-from .forwarder_parts import ForwarderParts
+from .forwarder_dependencies import ForwarderDependencies
 from .forwarders import Forwarder
 from .gateway_feeds import FeedDependencies, GatewayFeeds
 from .gateway_metrics import GatewayMetrics
 from .gateway_servers import GatewayServers
-from .gateway_stops import GatewayStop, StopParts
-from .gateway_upstreams import GatewayUpstreams, UpstreamParts
+from .gateway_stops import GatewayStop, StopDependencies
+from .gateway_upstreams import GatewayUpstreams, UpstreamDependencies
 from .peers import PeerLink
 from .seeds import make_seed
 from .settings import GatewaySettings
@@ -100,7 +100,7 @@
         self._connections = CallerConnections(
             ConnectionOptions(self._clock, self._get_limits, self._forwarder.handle)
         )
-        self._servers = GatewayServers(self._upstreams.make_room)
+        self._servers = GatewayServers(self._upstreams.free_descriptors)
         self._check_task: asyncio.Task[None] | None = None
         self._close_task: asyncio.Task[None] | None = None
         self._address = settings.gateway.listen
@@ -184,7 +184,7 @@
         # Must precede every step that waits for the store, and the closing of caller
         # connections, which would be taken for callers that disconnected.
         await self._forwarder.close()
-        await self._connections.settle(DRAIN_LIMIT)
+        await self._connections.drain(DRAIN_LIMIT)
         if self._check_task is not None:
             self._check_task.cancel()
         await self._stage_controller.close()
@@ -208,10 +208,10 @@
         if fixed:
             self._events.record("settings.need_restart")
         self._settings = settings
-        self._upstreams.take_bounds(settings.bounds)
+        self._upstreams.apply_bounds(settings.bounds)
 
     def _make_upstreams(self) -> GatewayUpstreams:
-        deps = UpstreamParts(
+        deps = UpstreamDependencies(
             adapter=self._adapter,
             clock=self._clock,
             random=self._random,
@@ -225,21 +225,21 @@
 
     def _make_stop(self) -> GatewayStop:
         node = self._settings.node
-        deps = StopParts(
+        deps = StopDependencies(
             name=node.name,
             availability_zone=node.availability_zone,
             clock=self._clock,
             random=self._random,
             events=self._events,
             count_in_flight=lambda: self._forwarder.in_flight,
-            tell_peers=lambda: self._peers.send_now(),
+            notify_peers=lambda: self._peers.send_now(),
             end_keep_alive=self._end_keep_alive,
             close_idle=lambda: self._connections.close_idle(),
         )
         return GatewayStop(deps)
 
-    def _make_forwarder_dependencies(self) -> ForwarderParts:
-        return ForwarderParts(
+    def _make_forwarder_dependencies(self) -> ForwarderDependencies:
+        return ForwarderDependencies(
             adapter=self._adapter,
             clock=self._clock,
             random=self._random,
@@ -252,7 +252,7 @@
             crashes=self._upstreams.crashes,
             planner=self._upstreams.planner,
             stop=self._stop,
-            judge_table=lambda: self._configurations.find_state(),
+            find_table_state=lambda: self._configurations.find_state(),
             count_answer=self._metrics.count_answer,
             count_send=self._metrics.count_send,
             count_unused_prefill=self._metrics.count_unused_prefill,
@@ -386,7 +386,7 @@
         while True:
             await asyncio.sleep(CHECK_INTERVAL.total_seconds())
             self._list_updater.expire()
-            self._watch.look()
+            self._watch.check()
             if self.is_ready != self._was_ready:
                 self._was_ready = self.is_ready
                 self._events.record("process.readiness", ready=self._was_ready)
--- a/packages/mustardquay-node/src/mustardquay_node/upstream_list_updaters.py
+++ b/packages/mustardquay-node/src/mustardquay_node/upstream_list_updaters.py
@@ -10,7 +10,7 @@
 from mustardquay.upstream_lists import UpstreamList, UpstreamRecord
 
 from .adapters import Adapter, StoreRow
-from .feeds import RETURN_GRACE
+from .feeds import RESTORE_GRACE
 
 __all__ = ["UpstreamListUpdater"]
 
@@ -51,7 +51,7 @@
         Guards against a copy made before an upstream started to drain: because of its
         old record it would get new work until it writes its next one.
         """
-        self._restore_grace_until = self._clock.monotonic() + RETURN_GRACE
+        self._restore_grace_until = self._clock.monotonic() + RESTORE_GRACE
 
     def begin_grace(self) -> None:
         """Start the grace period of upstreams: the store is back from an outage."""
