--- /dev/null
+++ b/packages/mustardquay-node/src/mustardquay_node/cache_probes.py
@@ -0,0 +1,85 @@
+"""Queries for the prompt parts that engines have cached when a gateway starts.
+
+Without them, a gateway that starts while engines keep running has no record of cached
+parts, so each shared prompt would be prefilled once more, on a different engine.
+"""
+
+import asyncio
+from collections.abc import Callable, Sequence
+from dataclasses import dataclass
+from datetime import timedelta
+
+from mustardquay.errors import ProtocolError
+from mustardquay.events import EventRing
+from mustardquay.requests import PromptPart
+from mustardquay.upstream_lists import Stage, UpstreamRecord
+
+from .adapters import Adapter
+from .engine_calls import CallEngine, EngineCall
+from .loops import start_loop
+
+__all__ = ["CacheProbe", "CacheProbeDependencies"]
+
+CHECK_INTERVAL = timedelta(milliseconds=200)
+"""Interval of checks for engines that have not been queried."""
+MAX_ENGINES = 64
+"""Engines that one process queries at most: each call delays an engine's work a little,
+and in a large fleet every gateway would query every engine."""
+
+
+@dataclass(frozen=True, slots=True)
+class CacheProbeDependencies:
+    """Dependencies of a `CacheProbe`."""
+
+    adapter: Adapter
+    events: EventRing
+    list_upstreams: Callable[[], Sequence[UpstreamRecord]]
+    call: CallEngine
+    add_cached_parts: Callable[[UpstreamRecord, Sequence[PromptPart]], None]
+    """Records the parts that an engine has cached."""
+
+
+class CacheProbe:
+    """Queries the cache of each engine once, when it is first listed."""
+
+    def __init__(self, deps: CacheProbeDependencies):
+        self._deps = deps
+        self._queried: set[str] = set()
+        self._task: asyncio.Task[None] | None = None
+
+    def start(self) -> None:
+        """Start to check for new engines."""
+        self._task = start_loop(self._query_new_engines, CHECK_INTERVAL)
+
+    async def close(self) -> None:
+        """Stop and wait for the task to end."""
+        if self._task is not None:
+            self._task.cancel()
+            await asyncio.gather(self._task, return_exceptions=True)
+
+    async def _query_new_engines(self) -> None:
+        if len(self._queried) >= MAX_ENGINES:
+            return
+        for engine in self._deps.list_upstreams():
+            if engine.stage is Stage.NONE or engine.id in self._queried:
+                continue
+            self._queried.add(engine.id)
+            await self._query(engine)
+
+    async def _query(self, engine: UpstreamRecord) -> None:
+        deps = self._deps
+        call = EngineCall("GET", deps.adapter.CACHE_PATH)
+        exchange = await deps.call(engine, call)
+        if exchange is None or exchange.head is None or exchange.head.status != 200:
+            deps.events.record("cache.unknown", upstream=engine.id)
+            return
+        try:
+            cached = deps.adapter.read_cache(exchange.content)
+        except ProtocolError as error:
+            deps.events.record("cache.unknown", upstream=engine.id, error=str(error))
+            return
+        deps.add_cached_parts(engine, cached)
+        tokens = sum(part.tokens for part in cached)
+        deps.events.record(
+            "cache.listed", upstream=engine.id, parts=len(cached), tokens=tokens
+        )
--- a/packages/mustardquay/tests/test_stop_bounds.py
+++ b/packages/mustardquay/tests/test_stop_bounds.py
@@ -95,13 +95,13 @@
     Each of 40 gateways sends digests to the 16 that follow it by name, so that the
     first one of a zone gets none from its own zone; 8 of the 13 there are stopping.
     """
-    from mustardquay_node.peers import list_told
+    from mustardquay_node.peers import list_recipients
 
     names = [f"{zone}-{index:02}" for zone in "abc" for index in range(13)]
     own = "b-00"
     peers = PeerAvailability()
     for name in names:
-        if name != own and own in list_told(name, set(names) - {name}):
+        if name != own and own in list_recipients(name, set(names) - {name}):
             stops = name.startswith("b") and name < "b-08"
             left = 5 * SECOND if stops else None
             receive(peers, name, SECOND, name[0], is_ready=not stops, ends_in=left)
