--- a/packages/mustardquay-node/src/mustardquay_node/claim_writers.py
+++ b/packages/mustardquay-node/src/mustardquay_node/claim_writers.py
@@ -137,9 +137,9 @@
         """
         item.abandoned = True
         if item.result.done():
-            judged = item.result.result()
-            if judged.decision is ClaimDecision.RUN:
-                self._release(judged.claim)
+            resolved = item.result.result()
+            if resolved.decision is ClaimDecision.RUN:
+                self._release(resolved.claim)
         elif item not in self._in_flight:
             self._waiting.remove(item)
             self._withdraw(item)
@@ -255,11 +255,11 @@
 
     def _note_row(self, item: QueuedWrite, row: Row | None) -> None:
         if item.is_new:
-            judged = resolve_claim(item.claim, row, self._clock.now())
-            if isinstance(judged, ClaimResult):
-                self._set_claim_result(item, judged)
+            resolved = resolve_claim(item.claim, row, self._clock.now())
+            if isinstance(resolved, ClaimResult):
+                self._set_claim_result(item, resolved)
                 return
-            item.claim = judged
+            item.claim = resolved
         else:
             amended = rebase_final_write(item.claim, row)
             if amended is None:
@@ -269,12 +269,12 @@
         item.needs_own_transaction = False
         self._requeue([item])
 
-    def _set_claim_result(self, item: QueuedWrite, judged: ClaimResult) -> None:
+    def _set_claim_result(self, item: QueuedWrite, resolved: ClaimResult) -> None:
         if not item.abandoned:
             if not item.result.done():
-                item.result.set_result(judged)
-        elif judged.decision is ClaimDecision.RUN:
-            self._release(judged.claim)
+                item.result.set_result(resolved)
+        elif resolved.decision is ClaimDecision.RUN:
+            self._release(resolved.claim)
 
     def _set_end_result(self, item: QueuedWrite, has_state: bool) -> None:
         if not item.result.done():
--- a/packages/mustardquay-node/src/mustardquay_node/recorders.py
+++ b/packages/mustardquay-node/src/mustardquay_node/recorders.py
@@ -107,13 +107,13 @@
         monotonic instant of the request's deadline.
         """
         while True:
-            judged = await self._write_claim(
+            resolved = await self._write_claim(
                 key, digest, attempt, store_deadline, finish_by
             )
-            if judged.decision is ClaimDecision.JOIN:
-                judged = await self._await_claim(judged.claim, finish_by)
-            if judged.decision is not ClaimDecision.JOIN:
-                return await self._load_body(judged, finish_by)
+            if resolved.decision is ClaimDecision.JOIN:
+                resolved = await self._await_claim(resolved.claim, finish_by)
+            if resolved.decision is not ClaimDecision.JOIN:
+                return await self._load_body(resolved, finish_by)
 
     def record_answer(
         self, claim: Claim, answer: RecordedAnswer
@@ -196,9 +196,9 @@
                     return ClaimResult(ClaimDecision.UNKNOWN, held)
                 await self._pause(changed, min(pause, remaining))
                 pause = min(2 * pause, POLL_CAP)
-                judged = await self._poll_claim(held)
-                if judged is not None:
-                    return judged
+                resolved = await self._poll_claim(held)
+                if resolved is not None:
+                    return resolved
         finally:
             watchers.discard(changed)
             if not watchers:
@@ -222,10 +222,10 @@
         except StoreUnavailable:
             return None
         follower = replace(held, id="")
-        judged = resolve_claim(follower, row, self._clock.now())
-        if isinstance(judged, Claim):
+        resolved = resolve_claim(follower, row, self._clock.now())
+        if isinstance(resolved, Claim):
             return ClaimResult(ClaimDecision.JOIN, held)
-        return None if judged.decision is ClaimDecision.JOIN else judged
+        return None if resolved.decision is ClaimDecision.JOIN else resolved
 
     def _end(
         self, claim: Claim, state: ClaimState, answer: RecordedAnswer | None = None
@@ -258,11 +258,11 @@
             result.set_result(written)
 
     async def _load_body(
-        self, judged: ClaimResult, finish_by: timedelta
+        self, resolved: ClaimResult, finish_by: timedelta
     ) -> ClaimResult:
-        answer = judged.answer
+        answer = resolved.answer
         if answer is None or not answer.object_name:
-            return judged
+            return resolved
         retry = 0
         while self._clock.monotonic() < finish_by:
             retry += 1
@@ -273,8 +273,8 @@
                 continue
             if body is None:
                 break
-            return replace(judged, answer=replace(answer, body=body))
-        return ClaimResult(ClaimDecision.UNKNOWN, judged.claim)
+            return replace(resolved, answer=replace(answer, body=body))
+        return ClaimResult(ClaimDecision.UNKNOWN, resolved.claim)
 
     def _choose_pause(self, retry: int) -> float:
         return choose_backoff(retry, timedelta.max, self._random).total_seconds()
--- a/packages/mustardquay-node/src/mustardquay_node/services.py
+++ b/packages/mustardquay-node/src/mustardquay_node/services.py
@@ -99,8 +99,8 @@
             return
         lifetime = self.deps.settings.claim_lifetime
         self.set_header(LIFETIME_HEADER, str(int(lifetime.total_seconds())))
-        judgement = await self._claim(service, key, path)
-        await self._follow_verdict(judgement, path)
+        result = await self._claim(service, key, path)
+        await self._follow_result(result, path)
 
     async def _claim(self, service: str, key: str, path: str) -> ClaimResult:
         contract = self.customer
@@ -116,26 +116,26 @@
             self.arrived + contract.lateness.whole,
         )
 
-    async def _follow_verdict(self, judgement: ClaimResult, path: str) -> None:
+    async def _follow_result(self, result: ClaimResult, path: str) -> None:
         self.deps.events.record(
             "claim.judged",
             request=self.request_id,
             customer=self.customer.customer if self.customer else "",
-            verdict=judgement.decision.value,
+            verdict=result.decision.value,
         )
-        match judgement.decision:
+        match result.decision:
             case ClaimDecision.RUN:
-                assert judgement.claim is not None
-                await self._run_claimed(judgement.claim, path)
+                assert result.claim is not None
+                await self._run_claimed(result.claim, path)
             case ClaimDecision.REPLAY:
-                assert judgement.answer is not None
-                self._replay(judgement.answer)
+                assert result.answer is not None
+                self._replay(result.answer)
             case ClaimDecision.MISMATCH:
                 message = "The key was used for another call; use a new key."
                 self.refuse(422, message, "idempotency_key_reused", KEY_HEADER)
             case ClaimDecision.REFUSED:
-                assert judgement.refusal is not None
-                self.send_outcome(Finish(Outcome.NOT_RUN, judgement.refusal))
+                assert result.refusal is not None
+                self.send_outcome(Finish(Outcome.NOT_RUN, result.refusal))
             case _:
                 self.send_outcome(Finish(Outcome.UNKNOWN, _make_unknown()))
 
--- a/packages/mustardquay-node/tests/test_recorders.py
+++ b/packages/mustardquay-node/tests/test_recorders.py
@@ -235,7 +235,7 @@
 
     async def _serve(self, process, key, body, end, long, timeout):
         begun = self.clock.monotonic()
-        judged = await process.recorder.claim(
+        resolved = await process.recorder.claim(
             ClaimKey("syndesmos", "booking", key),
             body,
             f"r{self.random.random()}/1",
@@ -245,18 +245,21 @@
         waited = self.clock.monotonic() - begun
         if waited > DEADLINE + timedelta(seconds=timeout + 1):
             self.violations.append(f"{key}: waited {waited}")
-        self.outcomes.append(judged.decision)
-        if judged.decision is ClaimDecision.RUN:
+        self.outcomes.append(resolved.decision)
+        if resolved.decision is ClaimDecision.RUN:
             # The attempt was sent to the agent, and runs even if this entry dies.
-            claim = judged.claim
+            claim = resolved.claim
             task = asyncio.ensure_future(
                 self._execute(process, claim, key, body, end, long)
             )
             self.work.add(task)
             task.add_done_callback(self.work.discard)
-        elif judged.decision is ClaimDecision.REPLAY:
-            self._check_replay(key, body, judged.answer)
-        elif judged.decision is ClaimDecision.MISMATCH and judged.claim.digest == body:
+        elif resolved.decision is ClaimDecision.REPLAY:
+            self._check_replay(key, body, resolved.answer)
+        elif (
+            resolved.decision is ClaimDecision.MISMATCH
+            and resolved.claim.digest == body
+        ):
             self.violations.append(f"{key}: refused its own body")
 
     async def _execute(self, process, claim, key, body, end, long):
@@ -354,11 +357,11 @@
         recorder.start()
         until = clock.monotonic() + DEADLINE
         keys = [ClaimKey("c", "booking", f"k{number}") for number in range(40)]
-        judged = await asyncio.gather(
+        resolved = await asyncio.gather(
             *(recorder.claim(key, "d", "r/1", until, until) for key in keys)
         )
         await recorder.close()
-        return {item.decision for item in judged}, recorder.transactions
+        return {item.decision for item in resolved}, recorder.transactions
 
     assert loop.run_until_complete(claim_all()) == ({ClaimDecision.RUN}, 1)
     assert len(tables.rows) == 40
@@ -397,28 +400,28 @@
 
     async def claim(self, entry, body="body", timeout=1.0):
         begun = self.clock.monotonic()
-        judged = await self.entries[entry - 1].recorder.claim(
+        resolved = await self.entries[entry - 1].recorder.claim(
             ClaimKey("syndesmos", "bookings", "k"),
             body,
             f"r{entry}/1",
             begun + timedelta(seconds=timeout),
             begun + DEADLINE,
         )
-        answer = f" {judged.answer.body!r}" if judged.answer else ""
-        self.note(f"entry-{entry}: {judged.decision}{answer}")
-        return judged
+        answer = f" {resolved.answer.body!r}" if resolved.answer else ""
+        self.note(f"entry-{entry}: {resolved.decision}{answer}")
+        return resolved
 
-    async def end(self, entry, judged):
+    async def end(self, entry, resolved):
         self.note("service: booked")
         recorder = self.entries[entry - 1].recorder
-        await recorder.record_answer(judged.claim, RecordedAnswer(201, (), b"booked"))
+        await recorder.record_answer(resolved.claim, RecordedAnswer(201, (), b"booked"))
 
 
 async def repeat_at_another_entry(session):
-    judged = await session.claim(1)
+    resolved = await session.claim(1)
     repeat = asyncio.ensure_future(session.claim(2))
     await asyncio.sleep(0.3)
-    await session.end(1, judged)
+    await session.end(1, resolved)
     await repeat
     await session.claim(1, body="another")
 
--- a/packages/mustardquay/src/mustardquay/retries.py
+++ b/packages/mustardquay/src/mustardquay/retries.py
@@ -49,7 +49,7 @@
     is a rising number of attempts with a falling number of answers. A retry needs a
     token of the customer and one of the entry; each first attempt adds `ratio` tokens
     to both, so that retries add at most that ratio to the load, apart from the
-    capacity of the buckets and `trickle` tokens per second for customers with few
+    capacity of the buckets and `refill_rate` tokens per second for customers with few
     requests.
     """
 
--- a/packages/mustardquay/src/mustardquay/store_eras.py
+++ b/packages/mustardquay/src/mustardquay/store_eras.py
@@ -44,8 +44,8 @@
     def observe(self, era: int) -> EraChange:
         """Record the era of an answer.
 
-        >>> book = EraTracker()
-        >>> [book.observe(era).value for era in (1, 1, 2, 1)]
+        >>> tracker = EraTracker()
+        >>> [tracker.observe(era).value for era in (1, 1, 2, 1)]
         ['same', 'same', 'new', 'over']
         """
         known, self.current = self.current, max(era, self.current or 0)
