--- a/packages/mustardquay-node/src/mustardquay_node/forwarder_dependencies.py
+++ b/packages/mustardquay-node/src/mustardquay_node/forwarder_dependencies.py
@@ -21,7 +21,7 @@
 from .connections import Exchange
 from .crash_reporters import CrashReporter
 from .gateway_stops import GatewayStop
-from .generators import GenerationPlanner, KeptReading
+from .generation_planners import GenerationPlanner, RetainedPrefill
 from .upstream_pools import UpstreamPools
 
 __all__ = ["ForwardedRequest", "ForwarderDependencies"]
@@ -83,7 +83,7 @@
     """Whether a generation can't meet its latency target, so that others go first."""
     expected: timedelta | None = None
     """Expected time to the first event of a generation that was admitted as in time."""
-    prefill: KeptReading | None = None
+    prefill: RetainedPrefill | None = None
     """The prefill by another engine than the one that decodes."""
     last_event: str | None = None
     """Id of the last complete event that was sent to the caller."""
--- a/packages/mustardquay-node/src/mustardquay_node/generators.py
+++ b/packages/mustardquay-node/src/mustardquay_node/generation_planners.py
@@ -1,4 +1,8 @@
-"""Generators: keep the books from which generations are placed and admitted."""
+"""Placement of generations, based on the work outstanding at each engine.
+
+The reader is the engine that prefills a prompt, the decoder the one that generates from
+it; they may be the same engine.
+"""
 
 from collections.abc import Callable, Collection, Iterable, Sequence
 from dataclasses import dataclass, replace
@@ -27,40 +31,40 @@
 from mustardquay.upstream_loads import UpstreamLoads
 
 from .adapters import Prefilled
-from .peers import PARTS_LIMIT
+from .peers import MAX_PLACED_PARTS
 
-__all__ = ["GenerationPlanner", "KeptReading", "Ticket"]
+__all__ = ["GenerationPlanner", "RetainedPrefill", "Ticket"]
 
 
 @dataclass(slots=True)
 class Ticket:
-    """A placed generation, until its prompt is read and its stream has ended."""
+    """A placed generation, from its placement to the end of its stream."""
 
     placement: Placement
     parts: tuple[HashedPart, ...]
     rank: int = 0
-    is_read: bool = False
+    is_prefilled: bool = False
     is_running: bool = False
-    """Whether it holds a place at the engine that generates."""
-    reader_turn: Turn | None = None
-    decoder_turn: Turn | None = None
-    """At the engine that generates, where another one reads."""
+    """Whether it occupies a slot of the decoder."""
+    reader_reservation: Turn | None = None
+    decoder_reservation: Turn | None = None
+    """Set if the decoder is not the reader."""
 
 
 @dataclass(slots=True)
-class KeptReading:
-    """A prompt that an engine has read, until its request has ended."""
+class RetainedPrefill:
+    """A prompt that an engine has prefilled, kept until its request has ended."""
 
     ticket: Ticket
     prefilled: Prefilled
     is_handle_used: bool = False
-    """Whether another engine may have taken the handle, which can be done once."""
+    """Whether another engine may have fetched the handle, which works only once."""
     is_used: bool = False
-    """Whether something was generated from it."""
+    """Whether an engine has generated from it."""
 
 
 class GenerationPlanner:
-    """Places generations, and notes and tells what is outstanding."""
+    """Places generations and tracks outstanding work, shared with other gateways."""
 
     def __init__(
         self,
@@ -73,7 +77,10 @@
         note_change: Callable[[], None] = lambda: None,
         random: Random | None = None,
     ):
-        """Take `note_change`, which hears that the work to be told has changed."""
+        """Initialise without outstanding work.
+
+        `note_change` is called whenever the outstanding work of this gateway changes.
+        """
         self._random = random or Random(0)
         self._sample = make_sample(self._random, 1)
         self._clock = clock
@@ -81,7 +88,7 @@
         self._uplink = uplink or Uplink()
         self._models = models or EngineModels()
         self._limits = limits or LimitBook()
-        self._books = EngineStates(
+        self._states = EngineStates(
             loads, OutstandingWork(), PrefixCaches(), self._models, limits=self._limits
         )
         self._placed: list[PlacedPart] = []
@@ -96,20 +103,20 @@
         size: int = 0,
         rank: int = 0,
     ) -> Placement | None:
-        """Return where a generation of `size` bytes goes now.
+        """Return the best placement now for a generation whose body has `size` bytes.
 
-        Engines read it before all that has a higher `rank`.
+        Engines prefill it before all prompts of a higher `rank`.
         """
         now = self._clock.monotonic()
-        self._books.works.peers.expire(now)
+        self._states.works.peers.expire(now)
         parts = hash_parts(prompt.parts)
-        engines = self._drop_changing(engines)
+        engines = self._exclude_changing(engines)
         sending = self._uplink.measure(size, now)
         return choose_engines(
             prompt,
             parts,
             engines,
-            self._books,
+            self._states,
             now,
             avoid,
             sending,
@@ -117,31 +124,31 @@
             self._sample,
         )
 
-    def renew_decoder(
+    def reselect_decoder(
         self, ticket: Ticket, engines: Sequence[UpstreamRecord], avoid: Collection[str]
     ) -> bool:
-        """Choose anew which engine generates from a prompt that has been read.
+        """Choose the decoder again after the prompt has been prefilled.
 
-        Guards against an engine that began to leave, or to change its stage, while
-        the prompt waited to be read: after a long wait it would get a new request
-        although all know that it goes. Returns False if no engine generates.
+        Guards against a decoder that started to drain or to change its stage while the
+        prompt was queued: it would get a new request although the gateways have been
+        notified. Returns False if no decoder is available.
         """
         now = self._clock.monotonic()
-        usable = self._drop_changing(engines)
-        decoder = choose_decoder(usable, self._books, now, avoid)
+        usable = self._exclude_changing(engines)
+        decoder = choose_decoder(usable, self._states, now, avoid)
         if decoder is None:
             return False
         if decoder.id != ticket.placement.decoder.id:
-            if ticket.decoder_turn is not None:
-                self._limits.release(ticket.decoder_turn)
-            ticket.decoder_turn = self._limits.reserve(decoder, now)
+            if ticket.decoder_reservation is not None:
+                self._limits.release(ticket.decoder_reservation)
+            ticket.decoder_reservation = self._limits.reserve(decoder, now)
         ticket.placement = replace(ticket.placement, decoder=decoder)
         return True
 
-    def _drop_changing(
+    def _exclude_changing(
         self, engines: Sequence[UpstreamRecord]
     ) -> Sequence[UpstreamRecord]:
-        changing = self._changing | self._books.works.peers.list_changing()
+        changing = self._changing | self._states.works.peers.list_changing()
         return [engine for engine in engines if engine.id not in changing]
 
     def begin(
@@ -151,151 +158,156 @@
         size: int = 0,
         rank: int = 0,
     ) -> Ticket:
-        """Note a placement that is carried out, of a request of `size` bytes."""
+        """Account for a placement that is about to be sent, of `size` bytes."""
         sends = 1 if placement.prefiller is None else 2
         self._uplink.take(size * sends, self._clock.monotonic())
         reader = placement.reader.id
-        self._add_reading(reader, placement.prefill_seconds, rank)
+        self._add_prefill_work(reader, placement.prefill_seconds, rank)
         self._models.note_placed(placement.reader.service, placement.prefill_seconds)
         parts = hash_parts(prompt.parts)
-        # At once, so that the next prompts with these parts go there, too.
-        self._note_parts(placement.reader, parts)
+        # Before the prefill has ended, so that the next prompts with them go there too.
+        self._note_placed_parts(placement.reader, parts)
         ticket = Ticket(placement, parts, rank)
-        self._reserve_turns(ticket)
+        self._reserve_sends(ticket)
         if placement.prefiller is None:
-            self._take_place(ticket)
+            self._occupy_slot(ticket)
         return ticket
 
-    def _reserve_turns(self, ticket: Ticket) -> None:
+    def _reserve_sends(self, ticket: Ticket) -> None:
         now = self._clock.monotonic()
         placement = ticket.placement
-        ticket.reader_turn = self._limits.reserve(placement.reader, now)
+        ticket.reader_reservation = self._limits.reserve(placement.reader, now)
         if placement.prefiller is not None:
-            ticket.decoder_turn = self._limits.reserve(placement.decoder, now)
+            ticket.decoder_reservation = self._limits.reserve(placement.decoder, now)
 
-    def end_reading(self, ticket: Ticket, is_handed_over: bool = False) -> None:
-        """Note that the prompt has been read, or won't be.
+    def end_prefill(self, ticket: Ticket, is_handed_over: bool = False) -> None:
+        """Note that the prompt has been prefilled, or never will be.
 
-        With `is_handed_over`, the engine that generates copies it.
+        With `is_handed_over`, the decoder copies it from the reader.
         """
-        if ticket.is_read:
+        if ticket.is_prefilled:
             return
-        ticket.is_read = True
+        ticket.is_prefilled = True
         placement = ticket.placement
-        self._add_reading(placement.reader.id, -placement.prefill_seconds, ticket.rank)
+        self._add_prefill_work(
+            placement.reader.id, -placement.prefill_seconds, ticket.rank
+        )
         if is_handed_over:
-            self._note_copied(ticket)
+            self._note_copying(ticket)
 
-    def find_loss(
+    def find_prefill_loss(
         self,
-        reading: KeptReading,
+        prefill: RetainedPrefill,
         engines: Sequence[UpstreamRecord],
         avoid: Collection[str],
     ) -> PrefillLoss | None:
-        """Return why no other engine can generate from a reading; None if one can."""
+        """Return why no other engine can use a retained prefill, None if one can."""
         now = self._clock.monotonic()
-        ticket = reading.ticket
+        ticket = prefill.ticket
         return find_prefill_loss(
             ticket.placement.reader,
             ticket.parts,
-            self.must_copy(reading),
-            self._drop_changing(engines),
-            self._books,
+            self.must_copy_from_cache(prefill),
+            self._exclude_changing(engines),
+            self._states,
             now,
             avoid,
         )
 
-    def must_copy(self, reading: KeptReading) -> bool:
-        """Return whether a prompt can be had from its reader's cache only.
+    def must_copy_from_cache(self, prefill: RetainedPrefill) -> bool:
+        """Return whether a prompt can only be copied from its reader's cache.
 
-        Its handle may have been taken, or handles of that engine lapse at once.
+        That is so if its handle may have been fetched already, or if handles of that
+        engine currently expire at once.
         """
-        reader = reading.ticket.placement.reader.id
+        reader = prefill.ticket.placement.reader.id
         now = self._clock.monotonic()
-        is_lapsing = self._books.loads.has_expired_handles(reader, now)
-        return reading.is_handle_used or is_lapsing
+        is_expired = self._states.loads.has_expired_handles(reader, now)
+        return prefill.is_handle_used or is_expired
 
-    def take_up(
+    def reassign_decoder(
         self,
-        reading: KeptReading,
+        prefill: RetainedPrefill,
         engines: Sequence[UpstreamRecord],
         avoid: Collection[str],
     ) -> PrefillLoss | None:
-        """Have another engine generate from a reading; returns why none can."""
-        loss = self.find_loss(reading, engines, avoid)
+        """Reassign a prompt to another decoder; return why that fails, or None."""
+        loss = self.find_prefill_loss(prefill, engines, avoid)
         if loss is not None:
             return loss
-        old = reading.ticket
-        ticket = Ticket(old.placement, old.parts, old.rank, is_read=True)
-        if not self.renew_decoder(ticket, engines, avoid):
+        old = prefill.ticket
+        ticket = Ticket(old.placement, old.parts, old.rank, is_prefilled=True)
+        if not self.reselect_decoder(ticket, engines, avoid):
             return PrefillLoss.NO_GENERATOR
-        self._note_copied(ticket)
-        reading.ticket = ticket
+        self._note_copying(ticket)
+        prefill.ticket = ticket
         return None
 
-    def _note_copied(self, ticket: Ticket) -> None:
-        """Note that the engine that generates copies the prompt."""
-        self._note_parts(ticket.placement.decoder, ticket.parts)
-        self._take_place(ticket)
+    def _note_copying(self, ticket: Ticket) -> None:
+        """Account for a prompt that the decoder copies and generates from."""
+        self._note_placed_parts(ticket.placement.decoder, ticket.parts)
+        self._occupy_slot(ticket)
 
-    def _add_reading(self, engine: str, seconds: float, rank: int) -> None:
+    def _add_prefill_work(self, engine: str, seconds: float, rank: int) -> None:
         self._note_change()
-        outstanding = self._books.works.get(engine).seconds
+        outstanding = self._states.works.get(engine).seconds
         outstanding[rank] = max(outstanding[rank] + seconds, 0.0)
 
-    def _take_place(self, ticket: Ticket) -> None:
+    def _occupy_slot(self, ticket: Ticket) -> None:
         ticket.is_running = True
         self._note_change()
-        self._books.works.get(ticket.placement.decoder.id).running += 1
+        self._states.works.get(ticket.placement.decoder.id).running += 1
 
-    def _note_parts(self, engine: UpstreamRecord, parts: Sequence[HashedPart]) -> None:
-        """Note where the parts are from now on, and tell the other gateways."""
-        self._books.prefixes.note(engine.id, engine.stage, parts)
+    def _note_placed_parts(
+        self, engine: UpstreamRecord, parts: Sequence[HashedPart]
+    ) -> None:
+        """Note which engine has the parts, here and for the next digest."""
+        self._states.prefixes.note(engine.id, engine.stage, parts)
         self._placed += [PlacedPart(engine.id, *part) for part in parts]
-        del self._placed[:-PARTS_LIMIT]
+        del self._placed[:-MAX_PLACED_PARTS]
 
     def end(self, ticket: Ticket) -> None:
-        """Note that the generation has ended."""
-        self.end_reading(ticket)
-        for turn in (ticket.reader_turn, ticket.decoder_turn):
-            if turn is not None:
-                self._limits.release(turn)
+        """Release everything that the generation still holds."""
+        self.end_prefill(ticket)
+        for reservation in (ticket.reader_reservation, ticket.decoder_reservation):
+            if reservation is not None:
+                self._limits.release(reservation)
         if ticket.is_running:
             self._note_change()
-            work = self._books.works.get(ticket.placement.decoder.id)
+            work = self._states.works.get(ticket.placement.decoder.id)
             work.running = max(work.running - 1, 0)
 
-    def hear(self, digest: PeerDigest) -> None:
-        """Take in what another gateway has outstanding."""
-        if not self._books.works.peers.apply_digest(digest, self._clock.monotonic()):
+    def apply_digest(self, digest: PeerDigest) -> None:
+        """Apply the outstanding work and placements of another gateway."""
+        if not self._states.works.peers.apply_digest(digest, self._clock.monotonic()):
             return
         self._models.adopt_speeds(digest.speeds, self._clock.monotonic())
         for part in digest.placed:
             engine = self._upstreams.get(part.engine)
             if engine is not None:
                 hashed = ((part.part, part.tokens),)
-                self._books.prefixes.note(engine.id, engine.stage, hashed)
+                self._states.prefixes.note(engine.id, engine.stage, hashed)
 
-    def note_listed(self, told: int, others: int) -> None:
-        """Take in how many gateways tell this one, and how many there are besides."""
-        self._books.works.peers.unreported_ratio = others / told if told else 0.0
-        self._sample = make_sample(self._random, 1 + told + others)
+    def set_gateway_counts(self, senders: int, others: int) -> None:
+        """Note how many gateways send digests here, and how many others there are."""
+        self._states.works.peers.unreported_ratio = others / senders if senders else 0.0
+        self._sample = make_sample(self._random, 1 + senders + others)
 
     def list_configurations(self) -> list[int]:
-        """Return the version of the configuration that each other gateway has."""
-        peers = self._books.works.peers
+        """Return the configuration version of each of the other gateways."""
+        peers = self._states.works.peers
         peers.expire(self._clock.monotonic())
         return peers.list_configurations()
 
     def build_digest(
         self, name: str, incarnation: int, number: int, configuration: int
     ) -> PeerDigest:
-        """Return what the other gateways are told next."""
+        """Return the next digest and clear the placements it contains."""
         placed, self._placed = tuple(self._placed), []
         named = {part.engine for part in placed}
         engines = tuple(
             EngineDigest(id, trim_ranks(work.seconds), work.running)
-            for id, work in self._books.works.works.items()
+            for id, work in self._states.works.works.items()
             if work.running or any(work.seconds) or id in named
         )
         return PeerDigest(
@@ -309,41 +321,44 @@
             speeds=self._models.export_speeds(),
         )
 
-    def tell_changing(self, engines: Collection[str]) -> None:
-        """Note the engines that this gateway has ordered to change their stage."""
+    def set_changing(self, engines: Collection[str]) -> None:
+        """Set the engines that this gateway has ordered to change their stage."""
         self._changing = set(engines)
 
     def count_streams(self, engine: str) -> int:
-        """Return the generations that run at an engine, of all gateways."""
-        return self._books.works.sum_running(engine)
+        """Return the number of generations of all gateways running at an engine."""
+        return self._states.works.sum_running(engine)
 
-    def take_held(self, engine: UpstreamRecord, parts: Sequence[PromptPart]) -> None:
-        """Take in the parts that an engine says it holds."""
-        self._books.prefixes.note(engine.id, engine.stage, hash_parts(parts))
+    def add_cached_parts(
+        self, engine: UpstreamRecord, parts: Sequence[PromptPart]
+    ) -> None:
+        """Note the parts that an engine reports as cached."""
+        self._states.prefixes.note(engine.id, engine.stage, hash_parts(parts))
 
     def forget(self, id: str) -> None:
-        """Drop an engine that is gone or has started anew."""
-        self._books.works.works.pop(id, None)
-        self._books.prefixes.caches.pop(id, None)
+        """Discard the state of an engine that was removed or restarted."""
+        self._states.works.works.pop(id, None)
+        self._states.prefixes.caches.pop(id, None)
         self._models.forget(id)
 
-    def take_table(self, table: RoutingTable) -> None:
-        """Take in what the operator declares of engines and of routes to them."""
-        self._books.pauses.clear()
-        self._books.pauses.update(find_pauses(table.routes))
+    def apply_table(self, table: RoutingTable) -> None:
+        """Apply what the configuration declares of engines and of routes to them."""
+        self._states.pauses.clear()
+        self._states.pauses.update(find_pauses(table.routes))
         for service in table.services.values():
             engine = service.engine
             if engine is None:
                 continue
-            self._books.prefixes.capacity = engine.kv_tokens
+            self._states.prefixes.capacity = engine.kv_tokens
             self._models.set_traits(
                 service.name, engine.steps_per_event, engine.copy_seconds
             )
 
     def learn_prefill(self, ticket: Ticket, took: timedelta) -> None:
-        """Take in how long another engine than the one that generates read.
+        """Learn from the duration of a prefill on another engine than the decoder.
 
-        What came later may have gone before a late one: it tells nothing of the engine.
+        Late prompts are left out: ones that came after them may have been served first,
+        so their times say nothing about the speed of the engine.
         """
         if ticket.rank >= LATE_RANK:
             return
@@ -358,10 +373,10 @@
         )
 
     def learn_first(self, ticket: Ticket, took: timedelta) -> None:
-        """Take in how long after its start a generation had its first event."""
+        """Learn from the time from a generation's start to its first event."""
         placement = ticket.placement
         engine = placement.decoder
-        streams = self._books.works.sum_running(engine.id)
+        streams = self._states.works.sum_running(engine.id)
         seconds = took.total_seconds()
         if placement.prefiller is not None:
             self._models.learn_first(engine.service, streams, seconds)
@@ -376,17 +391,17 @@
         )
 
     def learn_pause(self, engine: UpstreamRecord, pause: timedelta) -> None:
-        """Take in the mean time between the events of a stream that has ended."""
-        streams = self._books.works.sum_running(engine.id)
+        """Learn from the mean time between events of a stream that has ended."""
+        streams = self._states.works.sum_running(engine.id)
         self._models.learn_pause(engine.service, streams, pause.total_seconds())
 
     def count_samples(self, service: str) -> float:
-        """Return the readings that count in what is known of a service's engines."""
+        """Return the weight of the samples behind the model of a service's engines."""
         return self._models.count_samples(service)
 
 
 def find_pauses(routes: Iterable[Route]) -> dict[str, timedelta]:
-    """Return the shortest of the longest pauses of the routes to each service."""
+    """Return the strictest limit on pauses among the routes to each service."""
     pauses: dict[str, timedelta] = {}
     for route in routes:
         if not route.has_prompt or route.longest_pause is None:
--- a/packages/mustardquay-node/src/mustardquay_node/upstream_intakes.py
+++ b/packages/mustardquay-node/src/mustardquay_node/upstream_list_updaters.py
@@ -1,4 +1,4 @@
-"""Upstream intakes: the records of upstreams in the store, taken into the list."""
+"""Updates of the list of upstreams from rows of the store."""
 
 from collections import OrderedDict
 from collections.abc import Callable, Sequence
@@ -12,14 +12,14 @@
 from .adapters import Adapter, StoreRow
 from .feeds import RESTORE_GRACE
 
-__all__ = ["UpstreamIntake"]
+__all__ = ["UpstreamListUpdater"]
 
-GONE_LIMIT = 1_000
-"""Upstreams that are gone whose last records are kept."""
+MAX_REMOVED = 1_000
+"""Removed upstreams whose last records are kept."""
 
 
-class UpstreamIntake:
-    """Keeps the list of upstreams by the rows that the store tells of."""
+class UpstreamListUpdater:
+    """Keeps the list of upstreams in step with the rows of the store."""
 
     def __init__(
         self,
@@ -28,36 +28,37 @@
         events: EventRing,
         clock: Clock,
         forget: Callable[[str], None],
-        note_leaving: Callable[[UpstreamRecord], None],
+        note_draining: Callable[[UpstreamRecord], None],
     ):
-        """Take `forget`, which hears of upstreams that are gone or started anew.
+        """Initialise the updater of `upstreams`.
 
-        `note_leaving` hears of those that begin to leave, or are gone without it.
+        `forget` is called for each upstream that was removed or restarted,
+        `note_draining` for each one that starts to drain, or is removed without that.
         """
         self._adapter = adapter
         self._upstreams = upstreams
         self._events = events
         self._clock = clock
         self._forget = forget
-        self._note_leaving = note_leaving
-        self._gone: OrderedDict[str, UpstreamRecord] = OrderedDict()
-        """The last records of upstreams that are gone, oldest first."""
-        self._distrusts_until = timedelta()
+        self._note_draining = note_draining
+        self._removed: OrderedDict[str, UpstreamRecord] = OrderedDict()
+        """The last records of removed upstreams, oldest first."""
+        self._restore_grace_until = timedelta()
 
-    def begin_return(self) -> None:
-        """Note that the store has come back from a copy, with older records.
+    def begin_restore(self) -> None:
+        """Note that the store was restored from a copy, so that records may be old.
 
-        Guards against a copy from before an upstream began to leave: by its old record
-        it would get new work again, until it writes the next one.
+        Guards against a copy made before an upstream started to drain: because of its
+        old record it would get new work until it writes its next one.
         """
-        self._distrusts_until = self._clock.monotonic() + RESTORE_GRACE
+        self._restore_grace_until = self._clock.monotonic() + RESTORE_GRACE
 
     def begin_grace(self) -> None:
-        """Note that the store answers again after an outage."""
+        """Start the grace period of upstreams: the store is back from an outage."""
         self._upstreams.begin_grace(self._clock.monotonic())
 
-    def take(self, rows: Sequence[StoreRow], is_whole: bool) -> None:
-        """Take in rows: all there are, or those that have changed."""
+    def apply_rows(self, rows: Sequence[StoreRow], is_whole: bool) -> None:
+        """Apply rows of the store: with `is_whole` all of them, else changed ones."""
         now = self._clock.monotonic()
         records = []
         for row in rows:
@@ -65,30 +66,30 @@
                 self._drop(row.key, now)
                 continue
             record = self._read(row)
-            if record is None or self._is_outdated(record, now):
+            if record is None or self._is_stale(record, now):
                 continue
             records.append(record)
             self._put(record)
         if is_whole:
             for record in self._upstreams.replace(records, now):
-                self._note_gone(record)
+                self._note_removed(record)
 
     def expire(self) -> None:
-        """Drop the upstreams that did not come back after an outage of the store."""
+        """Remove the upstreams that did not return after an outage of the store."""
         for record in self._upstreams.expire(self._clock.monotonic()):
-            self._note_gone(record)
+            self._note_removed(record)
 
-    def _is_outdated(self, record: UpstreamRecord, now: timedelta) -> bool:
-        """Return whether a record of a copy tells less than is known."""
-        if now >= self._distrusts_until:
+    def _is_stale(self, record: UpstreamRecord, now: timedelta) -> bool:
+        """Return whether a record of a restored store is older than the known one."""
+        if now >= self._restore_grace_until:
             return False
         listed = self._upstreams.get(record.id)
-        known = listed or self._gone.get(record.id)
+        known = listed or self._removed.get(record.id)
         if known is None or known.started_ms != record.started_ms:
             return False
         if record.sequence != known.sequence:
             return record.sequence < known.sequence
-        # The same record once more: what is known besides it is newer.
+        # With equal sequence numbers, state learned from other sources is newer.
         return listed is None or (listed.draining and not record.draining)
 
     def _read(self, row: StoreRow) -> UpstreamRecord | None:
@@ -110,20 +111,20 @@
         elif (before.draining, before.stage) != (record.draining, record.stage):
             self._log("upstream.changed", record)
             if record.draining:
-                self._note_leaving(record)
+                self._note_draining(record)
 
     def _drop(self, id: str, now: timedelta) -> None:
         record = self._upstreams.get(id)
         if record is not None and self._upstreams.remove(id, now):
-            self._note_gone(record)
+            self._note_removed(record)
             if not record.draining:
-                self._note_leaving(record)
+                self._note_draining(record)
 
-    def _note_gone(self, record: UpstreamRecord) -> None:
-        self._gone[record.id] = record
-        self._gone.move_to_end(record.id)
-        if len(self._gone) > GONE_LIMIT:
-            self._gone.popitem(last=False)
+    def _note_removed(self, record: UpstreamRecord) -> None:
+        self._removed[record.id] = record
+        self._removed.move_to_end(record.id)
+        if len(self._removed) > MAX_REMOVED:
+            self._removed.popitem(last=False)
         self._events.record("upstream.gone", upstream=record.id)
         self._forget(record.id)
 
