--- a/packages/mustardquay-node/src/mustardquay_node/answers.py
+++ b/packages/mustardquay-node/src/mustardquay_node/answers.py
@@ -146,7 +146,7 @@
         self.first_data_at: timedelta | None = None
         self.last_data_at: timedelta | None = None
         self.blocked_since: timedelta | None = None
-        """When the caller stopped to read, or None while it keeps up."""
+        """When the caller stopped reading, or None while it keeps up."""
         self.ended = self._buffered.ended
 
     @property
--- a/packages/mustardquay-node/src/mustardquay_node/caller_servers.py
+++ b/packages/mustardquay-node/src/mustardquay_node/caller_servers.py
@@ -58,8 +58,8 @@
         sockets = bind_sockets(self._port, self._address)
         for listener in sockets:
             # Connections inherit the size. The kernel would otherwise buffer some
-            # megabytes for each caller that doesn't read, which flow control
-            # doesn't count.
+            # megabytes for each caller that doesn't read, which the flow control
+            # of the stream would count as taken.
             listener.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, SEND_BUFFER)
         self._port = sockets[0].getsockname()[1]
         self._server = HTTPServer(
@@ -80,7 +80,7 @@
             self._server = None
 
     def drop_slow_callers(self) -> None:
-        """Close the connections of callers that have stopped to read their stream.
+        """Close the connections of callers that have stopped reading their stream.
 
         A caller that hangs, or whose connection is half open, would otherwise occupy
         memory here and a slot of the engine for as long as TCP keeps the connection.
