--- a/packages/mustardquay-node/src/mustardquay_node/configuration_intakes.py
+++ b/packages/mustardquay-node/src/mustardquay_node/configuration_loaders.py
@@ -1,4 +1,4 @@
-"""Configuration intakes: the operator's configuration, from the store into force."""
+"""Loading of the operator's configuration from rows of the store."""
 
 from collections.abc import Callable, Sequence
 from datetime import timedelta
@@ -12,59 +12,60 @@
 
 from .adapters import Adapter, StoreRow
 
-__all__ = ["ConfigurationIntake"]
+__all__ = ["ConfigurationLoader"]
 
 
-class ConfigurationIntake:
-    """Puts each newer configuration in force; a version never goes back."""
+class ConfigurationLoader:
+    """Activates each newer configuration; the active version never decreases."""
 
     def __init__(
         self,
         adapter: Adapter,
         events: EventRing,
         clock: Clock,
-        put: Callable[[RoutingTable], None],
-        list_others: Callable[[], Sequence[int]],
+        activate: Callable[[RoutingTable], None],
+        list_peer_versions: Callable[[], Sequence[int]],
         get_bound: Callable[[], timedelta],
     ):
-        """Take `put`, which puts a configuration in force.
+        """Initialise the loader without a configuration.
 
-        `list_others` returns the versions of the other gateways, `get_bound` the time
-        in which a version has to be in force everywhere.
+        `activate` puts a configuration into force. `list_peer_versions` returns the
+        active versions of the other gateways. `get_bound` returns the time within which
+        a version has to be active everywhere.
         """
         self._adapter = adapter
         self._events = events
         self._clock = clock
-        self._put = put
-        self._list_others = list_others
+        self._activate = activate
+        self._list_peer_versions = list_peer_versions
         self._get_bound = get_bound
         self._versions = VersionBook()
 
     @property
     def version(self) -> int:
-        """Return the version in force, 0 before the first."""
+        """Return the active version, 0 before the first."""
         return self._versions.in_force
 
     @property
     def known_version(self) -> int:
-        """Return the newest version that is known to exist."""
+        """Return the newest version known to exist, active here or not."""
         return self._versions.known
 
     @property
     def lag(self) -> timedelta:
-        """Return for how long a version that isn't in force here is known."""
+        """Return for how long a version newer than the active one has been known."""
         return self._versions.measure_lag(self._clock.monotonic())
 
-    def judge(self) -> TableState:
-        """Return what may be concluded from the configuration in force."""
+    def find_state(self) -> TableState:
+        """Return how far the active configuration may be relied on."""
         if not self._versions.is_behind:
             return TableState.CURRENT
-        others = self._list_others()
+        others = self._list_peer_versions()
         now = self._clock.monotonic()
         return self._versions.judge(others, self._get_bound(), now)
 
-    def hear(self, gateway: str, version: int) -> bool:
-        """Take in the version of another gateway; returns whether it is newer."""
+    def note_peer_version(self, gateway: str, version: int) -> bool:
+        """Note the version of another gateway and return whether it is newer."""
         if self._versions.hear(version, self._clock.monotonic()):
             self._events.record(
                 "configuration.behind",
@@ -74,35 +75,37 @@
             )
         return version > self.version
 
-    def take(self, rows: Sequence[StoreRow], is_whole: bool) -> None:
-        """Take in rows: all there are, or those that have changed.
+    def apply_rows(self, rows: Sequence[StoreRow], is_whole: bool) -> None:
+        """Apply rows of the store: with `is_whole` all of them, else changed ones.
 
-        Of several versions only the newest is decoded that can be: a large one takes a
-        busy process some 100 ms.
+        Of several versions, only the newest one that can be decoded is activated, and
+        older ones are not decoded: a large one takes a busy process some 100 ms.
         """
         for row in sorted(rows, key=attrgetter("version"), reverse=True):
             if row.key != self._adapter.CONFIGURATION_KEY or row.deleted:
                 continue
-            if self._read(row):
+            if self._load(row):
                 return
 
-    def _read(self, row: StoreRow) -> bool:
-        """Take in one row; returns whether it could be decoded."""
-        begun = self._clock.monotonic()
+    def _load(self, row: StoreRow) -> bool:
+        """Decode and activate one row; return whether it could be decoded."""
+        started_at = self._clock.monotonic()
         try:
             table = self._adapter.read_configuration(row.value)
         except ProtocolError as error:
             self._events.record("configuration.refused", error=str(error))
             return False
-        self._offer(table, begun, len(row.value))
+        self._activate_if_newer(table, started_at, len(row.value))
         return True
 
-    def _offer(self, table: RoutingTable, begun: timedelta, size: int) -> None:
+    def _activate_if_newer(
+        self, table: RoutingTable, started_at: timedelta, size: int
+    ) -> None:
         before = self.version
         if before and table.version <= before:
             return
         lag = self.lag
-        self._put(table)
+        self._activate(table)
         self._versions.put(table.version)
         self._events.record(
             "configuration.in_force",
@@ -111,7 +114,7 @@
             routes=len(table.routes),
             bytes=size,
             behind_ms=_to_milliseconds(lag),
-            decode_ms=_to_milliseconds(self._clock.monotonic() - begun),
+            decode_ms=_to_milliseconds(self._clock.monotonic() - started_at),
         )
 
 
--- /dev/null
+++ b/packages/mustardquay-node/src/mustardquay_node/digest_exchanges.py
@@ -0,0 +1,91 @@
+"""Exchange of digests: state that each gateway shares with the others."""
+
+from collections.abc import Callable, Collection
+from dataclasses import dataclass, replace
+
+from mustardquay.clocks import Clock
+from mustardquay.peer_digests import PeerDigest
+from mustardquay.rate_limits import LimitBook
+
+from .configuration_loaders import ConfigurationLoader
+from .crash_reporters import CrashReporter
+from .gateway_stops import GatewayStop
+from .generation_planners import GenerationPlanner
+
+__all__ = ["DigestDependencies", "DigestExchange"]
+
+
+@dataclass(frozen=True, slots=True)
+class DigestDependencies:
+    """Components whose state digests carry, and which apply received digests."""
+
+    name: str
+    availability_zone: str
+    clock: Clock
+    planner: GenerationPlanner
+    stop: GatewayStop
+    crashes: CrashReporter
+    limits: LimitBook
+    configurations: ConfigurationLoader
+    is_ready: Callable[[], bool]
+    fetch_configuration: Callable[[], None]
+    """Starts a read of the configuration, as a newer one is known to exist."""
+
+
+class DigestExchange:
+    """Builds the numbered digests of one gateway and applies those of others."""
+
+    def __init__(self, deps: DigestDependencies):
+        self._deps = deps
+        self._incarnation = int(deps.clock.now().timestamp() * 1_000_000)
+        self._number = 0
+
+    @property
+    def incarnation(self) -> int:
+        """Return the incarnation of this process; it rises with each restart."""
+        return self._incarnation
+
+    def build(self) -> PeerDigest:
+        """Return the next digest for the other gateways."""
+        deps = self._deps
+        now = deps.clock.monotonic()
+        self._number += 1
+        digest = deps.planner.build_digest(
+            deps.name, self._incarnation, self._number, deps.configurations.version
+        )
+        knows_limits = deps.limits.knows_any(now)
+        return replace(
+            digest,
+            crashes=deps.crashes.list_recent_changes(),
+            availability_zone=deps.availability_zone,
+            is_ready=deps.is_ready(),
+            limits=deps.limits.tell(now),
+            demands=deps.limits.demand.tell(now) if knows_limits else None,
+            ends_in=deps.stop.ends_in,
+        )
+
+    def apply_digest(self, digest: PeerDigest) -> None:
+        """Apply a received digest; fetch the configuration if the sender's is newer.
+
+        Guards against a connection to the store that stopped responding: otherwise the
+        configuration would be read only after the call on it has timed out.
+        """
+        deps = self._deps
+        deps.planner.apply_digest(digest)
+        deps.stop.apply_digest(digest)
+        deps.crashes.merge(digest.crashes)
+        self._apply_limits(digest)
+        if deps.configurations.note_peer_version(digest.gateway, digest.configuration):
+            deps.fetch_configuration()
+
+    def set_gateways(self, senders: Collection[str], others: int) -> None:
+        """Note the gateways that send digests here, and the number of the others."""
+        now = self._deps.clock.monotonic()
+        self._deps.limits.demand.list_gateways(senders, others, now)
+        self._deps.planner.set_gateway_counts(len(senders), others)
+
+    def _apply_limits(self, digest: PeerDigest) -> None:
+        now = self._deps.clock.monotonic()
+        self._deps.limits.demand.hear(digest.gateway, digest.demands, now)
+        for notice in digest.limits:
+            self._deps.limits.hear_notice(notice, now)
--- a/packages/mustardquay-node/src/mustardquay_node/handovers.py
+++ b/packages/mustardquay-node/src/mustardquay_node/handovers.py
@@ -21,7 +21,7 @@
 
 from .adapters import Prefilled
 from .forwarder_dependencies import ForwardedRequest, ForwarderDependencies
-from .generators import KeptReading, Ticket
+from .generation_planners import RetainedPrefill, Ticket
 from .rate_reservations import await_reservation
 from .replies import Reply
 from .sends import Send, Sender, SendOptions
@@ -68,14 +68,14 @@
             return await _generate_on_one_engine(deps, request, sender, ticket)
         outcome = await _prefill(deps, request, sender, ticket)
         if isinstance(outcome, Send):
-            planner.end_reading(ticket)
+            planner.end_prefill(ticket)
             return outcome
         engines = deps.upstreams.list_usable(request.service)
-        request.prefill = KeptReading(ticket, outcome)
-        if not planner.renew_decoder(ticket, engines, request.avoid):
+        request.prefill = RetainedPrefill(ticket, outcome)
+        if not planner.reselect_decoder(ticket, engines, request.avoid):
             drop_prefill(deps, request, PrefillLoss.NO_GENERATOR)
             return None
-        planner.end_reading(ticket, is_handed_over=True)
+        planner.end_prefill(ticket, is_handed_over=True)
         return await _hand_over(deps, request, sender, request.prefill)
     finally:
         planner.end(ticket)
@@ -84,11 +84,11 @@
 def _take_up(
     deps: ForwarderDependencies,
     request: ForwardedRequest,
-    prefill: KeptReading,
+    prefill: RetainedPrefill,
     engines: list[UpstreamRecord],
 ) -> bool:
     """Choose another engine to decode a kept prefill; drop it if there is none."""
-    loss = deps.planner.take_up(prefill, engines, request.avoid)
+    loss = deps.planner.reassign_decoder(prefill, engines, request.avoid)
     if loss is not None:
         drop_prefill(deps, request, loss)
         return False
@@ -182,7 +182,7 @@
 ) -> Send:
     """Have one engine prefill the prompt and decode."""
     placement = ticket.placement
-    await await_reservation(deps, ticket.reader_turn)
+    await await_reservation(deps, ticket.reader_reservation)
     options = SendOptions(
         first_part_timeout=find_first_event_timeout(request.route, placement),
         fetch_from=placement.holder.address if placement.holder else "",
@@ -191,12 +191,12 @@
     return await sender.run(placement.decoder, options)
 
 
-def _note_used(prefill: KeptReading) -> None:
+def _note_used(prefill: RetainedPrefill) -> None:
     prefill.is_used = True
 
 
 def _make_first_event_callback(
-    deps: ForwarderDependencies, ticket: Ticket, prefill: KeptReading | None = None
+    deps: ForwarderDependencies, ticket: Ticket, prefill: RetainedPrefill | None = None
 ) -> Callable[[], None]:
     """Return the callback for the first event, which ends the prefill."""
     started = deps.clock.monotonic()
@@ -204,7 +204,7 @@
     def note() -> None:
         if prefill is not None:
             _note_used(prefill)
-        deps.planner.end_reading(ticket)
+        deps.planner.end_prefill(ticket)
         deps.planner.learn_first(ticket, deps.clock.monotonic() - started)
 
     return note
@@ -218,7 +218,7 @@
 ) -> Prefilled | Send:
     """Have an engine prefill the prompt; returns the failed send if it does not."""
     placement = ticket.placement
-    await await_reservation(deps, ticket.reader_turn)
+    await await_reservation(deps, ticket.reader_reservation)
     started = deps.clock.monotonic()
     options = SendOptions(
         prefill_only=True,
@@ -247,7 +247,7 @@
     deps: ForwarderDependencies,
     request: ForwardedRequest,
     sender: Sender,
-    prefill: KeptReading,
+    prefill: RetainedPrefill,
 ) -> Send:
     """Have the other engine decode from the prefill."""
     send = await _generate_from(deps, request, sender, prefill)
@@ -260,7 +260,7 @@
     deps: ForwarderDependencies,
     request: ForwardedRequest,
     sender: Sender,
-    prefill: KeptReading,
+    prefill: RetainedPrefill,
 ) -> Send:
     """Send to the decoding engine, by handle or else by copying cached blocks.
 
@@ -272,8 +272,8 @@
     ticket = prefill.ticket
     placement = ticket.placement
     address, reader = placement.reader.address, placement.reader.id
-    await await_reservation(deps, ticket.decoder_turn)
-    if not deps.planner.must_copy(prefill):
+    await await_reservation(deps, ticket.decoder_reservation)
+    if not deps.planner.must_copy_from_cache(prefill):
         source = deps.adapter.build_kv_source(address, prefill.prefilled)
         options = SendOptions(
             kv_source=source,
