--- a/tests/rigs.py
+++ b/tests/rigs.py
@@ -101,7 +101,7 @@
         return all(
             peers[name].link is not None
             and peers[name].view is not None
-            and peers[name].dialer.place == (relay.address, relay.port)
+            and peers[name].dialer.endpoint == (relay.address, relay.port)
             for name, relay in self.relays.items()
         )
 
@@ -165,7 +165,7 @@
     def _write_settings(self, port: int, upstream: str) -> str:
         platform = self.site.platform
         link = "\n".join(f"{name} = {value}" for name, value in LINK.items())
-        keys = next(iter(self._all()))._parts.settings.link.keys[0]
+        keys = next(iter(self._all()))._deps.settings.link.keys[0]
         return f"""
 [node]
 name = agent-alone
