--- a/packages/mustardquay-node/src/mustardquay_node/callers.py
+++ b/packages/mustardquay-node/src/mustardquay_node/caller_handlers.py
@@ -1,4 +1,4 @@
-"""Callers: the HTTP handlers that callers meet, whatever they call."""
+"""The base class of the HTTP handlers that serve callers."""
 
 import asyncio
 from collections.abc import Awaitable, Callable, Iterator
@@ -29,26 +29,31 @@
     count_retry_seconds,
     encode_error,
 )
+from .callback_batches import CallbackBatcher
 from .dispatchers import Dispatcher
 from .metrics import NodeMetrics
 from .node_settings import EntrySettings, ServiceSettings
 from .recorders import Recorder
-from .turns import TurnQueue
 
-__all__ = ["CallerHandler", "CallerParts", "ConfigurationSource", "NotFoundHandler"]
+__all__ = [
+    "CallerHandler",
+    "CallerDependencies",
+    "ConfigurationSource",
+    "NotFoundHandler",
+]
 
 OUTCOME_HEADER = "Mustardquay-Outcome"
 REQUEST_HEADER = "Mustardquay-Request"
-SWALLOW_LIMIT = 16 * 1024 * 1024
-"""Bytes over the limit of a body that are read, so that the caller sees the 413;
-a connection closed on unread bytes would lose it."""
+DISCARD_LIMIT = 16 * 1024 * 1024
+"""Bytes beyond the body limit that are read and discarded, so that the caller gets
+the 413. Closing the connection with unread bytes would lose that response."""
 SKIPPED_HEADERS = frozenset(
     {"authorization", "connection", "content-length", "host", "transfer-encoding"}
 )
 
 
 class ConfigurationSource(Protocol):
-    """Where the configuration in force is to be had."""
+    """Gives access to the configuration in force."""
 
     @property
     def configuration(self) -> Configuration:
@@ -56,11 +61,11 @@
 
     @property
     def current(self) -> bool:
-        """Return whether this process may take work under it."""
+        """Return whether it is recent enough for this process to take work."""
 
 
 class InFlight:
-    """Counts the requests that handlers are at work on."""
+    """Counts the requests that are being handled."""
 
     def __init__(self) -> None:
         self._count = 0
@@ -69,7 +74,7 @@
 
     @property
     def count(self) -> int:
-        """Return how many requests there are."""
+        """Return the number of requests in flight."""
         return self._count
 
     @contextmanager
@@ -85,13 +90,13 @@
                 self._empty.set()
 
     async def wait_until_empty(self) -> None:
-        """Wait until there is none."""
+        """Wait until no request is in flight."""
         await self._empty.wait()
 
 
 @dataclass(slots=True)
-class CallerParts:
-    """What the handlers of one entry share."""
+class CallerDependencies:
+    """The objects that all handlers of an entry share."""
 
     settings: EntrySettings
     services: dict[str, ServiceSettings]
@@ -105,14 +110,14 @@
     in_flight: "InFlight"
     draining: Callable[[], bool]
     streams: set[Any]
-    """Streams that are being written, watched for callers that take nothing."""
-    turns: TurnQueue = field(default_factory=TurnQueue)
-    """Where streams are written at the end of a turn of the loop."""
+    """Handler and sink of each open stream, checked for callers that don't read."""
+    callbacks: CallbackBatcher = field(default_factory=CallbackBatcher)
+    """Batches the writes of all streams in one iteration of the event loop."""
 
 
 @dataclass(frozen=True, slots=True)
-class _Fault:
-    """Why a request is refused before it is tried."""
+class _RequestError:
+    """The error response for a request that is refused before any attempt."""
 
     status: int
     message: str
@@ -123,25 +128,25 @@
 
 @stream_request_body
 class CallerHandler(RequestHandler):
-    """Authenticates, takes the body in and answers; each kind of call extends it.
+    """Authenticates the caller, reads the body and responds; base of all handlers.
 
-    The answer waits for the whole body, so that a caller which is still sending
-    does not lose it. Errors have the shape of the OpenAI API.
+    The response waits for the whole body, because a caller that is still sending
+    could lose it. Errors have the format of the OpenAI API.
     """
 
     operation = ""
     """Name of the operation in metrics."""
 
-    def initialize(self, parts: CallerParts) -> None:
-        """Take what the handlers of an entry share."""
-        self.parts = parts
+    def initialize(self, deps: CallerDependencies) -> None:
+        """Set up the handler of one request."""
+        self.deps = deps
         self.model = ""
         self.customer: Contract | None = None
         self._body: list[bytes] = []
         self._body_size = 0
-        self._fault: _Fault | None = None
-        self._left: Callable[[], None] = lambda: None
-        self.arrived = parts.clock.monotonic()
+        self._request_error: _RequestError | None = None
+        self._on_left: Callable[[], None] = lambda: None
+        self.arrived = deps.clock.monotonic()
 
     @property
     def request_id(self) -> str:
@@ -154,56 +159,58 @@
         return b"".join(self._body)
 
     def set_default_headers(self) -> None:
-        """Name the request and its outcome in every response."""
+        """Add the request id and the outcome to every response."""
         name_request(self.request)
         self.set_header("Server", "mustardquay")
         self.set_header(REQUEST_HEADER, self.request.request_id)
         self.set_header(OUTCOME_HEADER, Outcome.NOT_RUN.value)
 
     def prepare(self) -> None:
-        """Check the caller and the announced size, before the body is read."""
-        self._fault = self._check_state() or self._check_key() or self._check_length()
+        """Check the API key and `Content-Length` before the body is read."""
+        self._request_error = (
+            self._check_state() or self._check_key() or self._check_length()
+        )
 
     def data_received(self, chunk: bytes) -> None:
-        """Take a part of the body in, up to the limit."""
+        """Store a part of the body, up to the limit."""
         self._body_size += len(chunk)
-        limit = self.parts.settings.body_limit
+        limit = self.deps.settings.body_limit
         if self._body_size <= limit:
             self._body.append(chunk)
             return
         self._body.clear()
-        if self._fault is None:
-            self._fault = self._make_length_fault()
-        if self._body_size > limit + SWALLOW_LIMIT:
+        if self._request_error is None:
+            self._request_error = self._make_length_error()
+        if self._body_size > limit + DISCARD_LIMIT:
             self.request.connection.close()
 
     def compute_etag(self) -> None:
-        """Leave answers without a tag of ours; they are the upstream's."""
+        """Add no ETag of the entry to answers of an upstream."""
         return None
 
     def on_connection_close(self) -> None:
-        """Tell the exchange that its caller is gone."""
+        """Run the callback that was set for a caller that disconnects."""
         super().on_connection_close()
-        self._left()
+        self._on_left()
 
-    def on_caller_left(self, callback: Callable[[], None]) -> None:
-        """Call back when the caller goes before its answer."""
-        self._left = callback
+    def set_left_callback(self, callback: Callable[[], None]) -> None:
+        """Set the callback for a caller that disconnects before its answer."""
+        self._on_left = callback
 
     async def serve(self, run: Callable[[], Awaitable[None]]) -> None:
-        """Refuse what is at fault, or run it; a drain waits for what runs."""
-        # Asked again, as the body may have taken until after the entry began to stop:
-        # the call would be run, and be cut off at the end of the time to drain.
-        fault = self._fault or self._check_state()
-        if fault is not None:
-            self._refuse_fault(fault)
+        """Refuse an invalid request or run it; a drain waits for its end."""
+        # Checked again because the drain may have begun while the body was read. The
+        # request would otherwise be run and cut off at the drain timeout.
+        request_error = self._request_error or self._check_state()
+        if request_error is not None:
+            self._send_request_error(request_error)
             return
-        with self.parts.in_flight.hold():
+        with self.deps.in_flight.hold():
             await self._run(run)
 
     async def _run(self, run: Callable[[], Awaitable[None]]) -> None:
         assert self.customer is not None
-        self.parts.events.record(
+        self.deps.events.record(
             "request.arrived",
             request=self.request_id,
             customer=self.customer.customer,
@@ -219,11 +226,13 @@
         field: str | None = None,
         retry_after: timedelta | None = None,
     ) -> None:
-        """Answer that the request was not run, and what mends it."""
-        self._refuse_fault(_Fault(status, message, code, field, retry_after))
+        """Respond that the request was not run, and how to correct it."""
+        self._send_request_error(
+            _RequestError(status, message, code, field, retry_after)
+        )
 
     def send_end(self, end: Finish, sink: BufferedSink) -> None:
-        """Answer with a whole answer, or with the outcome of none."""
+        """Respond with the buffered answer, or with the outcome if there is none."""
         if end.outcome is Outcome.ANSWERED:
             self.send_answer(sink.status, sink.headers, sink.body)
         else:
@@ -232,7 +241,7 @@
     def send_answer(
         self, status: int, headers: tuple[Header, ...], body: bytes
     ) -> None:
-        """Pass a whole answer on."""
+        """Respond with a complete answer."""
         self.set_status(status)
         self.clear_header("Content-Type")
         for name, value in headers:
@@ -242,60 +251,69 @@
         self._end(Outcome.ANSWERED, body)
 
     def send_outcome(self, end: Finish) -> None:
-        """Tell the outcome of a request without an answer."""
+        """Respond with the outcome of a request that has no answer."""
         assert end.refusal is not None
         status = choose_status(end)
-        self.parts.metrics.count_refusal(end.refusal.reason)
+        self.deps.metrics.count_refusal(end.refusal.reason)
         self._set_retry_after(end.refusal.retry_after)
         self._send_error(
             status, end.refusal.message, end.refusal.reason.value, None, end.outcome
         )
 
     def write_error(self, status_code: int, **options: Any) -> None:
-        """Answer for an exception in a handler, without its text."""
-        # What was sent by then is not known here, so neither is the outcome.
+        """Respond to an exception in a handler, without its message."""
+        # Attempts may have been sent before the exception, so the outcome of a
+        # server error is unknown.
         outcome = Outcome.UNKNOWN if status_code >= 500 else Outcome.NOT_RUN
         message = "The entry failed; look up this request's id in its log."
         if status_code < 500:
             message = f"{self._reason}; see the callers' page."
         self._send_error(status_code, message, "error", None, outcome)
 
-    def _check_state(self) -> _Fault | None:
-        if self.parts.draining():
+    def _check_state(self) -> _RequestError | None:
+        if self.deps.draining():
             message = "This entry is stopping; send the request to another."
-            return _Fault(503, message, Reason.DRAINING, None, timedelta(seconds=1))
-        if not self.parts.configurations.current:
+            return _RequestError(
+                503, message, Reason.DRAINING, None, timedelta(seconds=1)
+            )
+        if not self.deps.configurations.current:
             message = "This entry has no current configuration; ask again."
-            return _Fault(503, message, Reason.NOT_CURRENT, None, timedelta(seconds=1))
+            return _RequestError(
+                503, message, Reason.NOT_CURRENT, None, timedelta(seconds=1)
+            )
         return None
 
-    def _check_key(self) -> _Fault | None:
+    def _check_key(self) -> _RequestError | None:
         scheme, _, key = self.request.headers.get("Authorization", "").partition(" ")
         if scheme.lower() == "bearer" and key:
             digest = sha256(key.strip().encode()).hexdigest()
-            configuration = self.parts.configurations.configuration
+            configuration = self.deps.configurations.configuration
             self.customer = configuration.find_contract(digest)
         if self.customer is not None:
             return None
         self.set_header("WWW-Authenticate", "Bearer")
         message = "The key is unknown; send Authorization: Bearer with your own."
-        return _Fault(401, message, "invalid_api_key")
+        return _RequestError(401, message, "invalid_api_key")
 
-    def _check_length(self) -> _Fault | None:
+    def _check_length(self) -> _RequestError | None:
         length = self.request.headers.get("Content-Length", "0")
-        if length.isdecimal() and int(length) > self.parts.settings.body_limit:
-            return self._make_length_fault()
+        if length.isdecimal() and int(length) > self.deps.settings.body_limit:
+            return self._make_length_error()
         return None
 
-    def _make_length_fault(self) -> _Fault:
-        limit = self.parts.settings.body_limit
+    def _make_length_error(self) -> _RequestError:
+        limit = self.deps.settings.body_limit
         message = f"The body is over {limit} bytes; send a shorter one."
-        return _Fault(413, message, "body_too_large")
+        return _RequestError(413, message, "body_too_large")
 
-    def _refuse_fault(self, fault: _Fault) -> None:
-        self._set_retry_after(fault.retry_after)
+    def _send_request_error(self, request_error: _RequestError) -> None:
+        self._set_retry_after(request_error.retry_after)
         self._send_error(
-            fault.status, fault.message, fault.code, fault.field, Outcome.NOT_RUN
+            request_error.status,
+            request_error.message,
+            request_error.code,
+            request_error.field,
+            Outcome.NOT_RUN,
         )
 
     def _set_retry_after(self, wait: timedelta | None) -> None:
@@ -324,9 +342,9 @@
 
     def record_end(self, outcome: Outcome) -> None:
         """Count the request with its outcome."""
-        duration = self.parts.clock.monotonic() - self.arrived
-        self.parts.metrics.record_request(self.operation, self.model, outcome, duration)
-        self.parts.events.record(
+        duration = self.deps.clock.monotonic() - self.arrived
+        self.deps.metrics.record_request(self.operation, self.model, outcome, duration)
+        self.deps.events.record(
             "request.answered",
             request=self.request_id,
             customer=self.customer.customer if self.customer else "",
@@ -336,15 +354,15 @@
 
 
 class NotFoundHandler(CallerHandler):
-    """Answers for paths that are not served."""
+    """Responds with 404 to paths that are not served."""
 
     async def prepare(self) -> None:
-        """Refuse at once; there is nothing to read."""
+        """Refuse at once, without reading a body."""
         path = self.request.path
         self.refuse(404, f"{path} is not served; see the callers' page.", "not_found")
 
 
 def name_request(request: HTTPServerRequest) -> None:
-    """Give the request its id, once."""
+    """Assign an id to the request, unless it has one."""
     if not hasattr(request, "request_id"):
         request.request_id = uuid4().hex
--- a/packages/mustardquay-node/src/mustardquay_node/caller_servers.py
+++ b/packages/mustardquay-node/src/mustardquay_node/caller_servers.py
@@ -1,4 +1,4 @@
-"""Caller servers: the port of an entry that callers meet."""
+"""The HTTP server of an entry for callers."""
 
 import socket
 import ssl
@@ -11,7 +11,7 @@
 from mustardquay.clocks import Clock
 from mustardquay.errors import SettingsError
 
-from .callers import CallerParts, NotFoundHandler
+from .caller_handlers import CallerDependencies, NotFoundHandler
 from .generations import ChatHandler, CompletionHandler, ModelsHandler
 from .node_settings import EntrySettings
 from .services import ServiceHandler
@@ -19,27 +19,31 @@
 __all__ = ["CallerServer"]
 
 SEND_BUFFER = 128 * 1024
-"""Bytes that the kernel keeps for a caller; it doubles the number itself."""
-BUFFER_SIZE = 1024 * 1024 * 1024
-"""Bytes that tornado lets a body have; handlers hold to the limit of settings."""
+"""`SO_SNDBUF` of a caller's connection; the kernel doubles the number."""
+MAX_BODY_SIZE = 1024 * 1024 * 1024
+"""Body limit for tornado; the handlers apply the lower limit of the settings."""
 
 
 class CallerServer:
     """Serves callers over HTTP, or HTTPS where a certificate is set."""
 
     def __init__(
-        self, settings: EntrySettings, address: str, parts: CallerParts, clock: Clock
+        self,
+        settings: EntrySettings,
+        address: str,
+        deps: CallerDependencies,
+        clock: Clock,
     ):
         self._settings = settings
         self._address = address
-        self._parts = parts
+        self._deps = deps
         self._clock = clock
         self._port = settings.port
         self._server: HTTPServer | None = None
 
     @property
     def port(self) -> int:
-        """Return the port; the real one after `start`."""
+        """Return the port; the port actually bound after `start`."""
         return self._port
 
     @property
@@ -49,19 +53,20 @@
         return f"{scheme}://{self._address}:{self._port}"
 
     def start(self) -> None:
-        """Begin to listen; raises `OSError` and `SettingsError`."""
-        tls = self._make_tls()
+        """Start to listen; raises `OSError` and `SettingsError`."""
+        tls = self._make_ssl_context()
         sockets = bind_sockets(self._port, self._address)
         for listener in sockets:
-            # Connections inherit it. The kernel would else buffer some megabytes
-            # for each caller that takes nothing in, out of sight of the window.
+            # Connections inherit the size. The kernel would otherwise buffer some
+            # megabytes for each caller that doesn't read, which flow control
+            # doesn't count.
             listener.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, SEND_BUFFER)
         self._port = sockets[0].getsockname()[1]
         self._server = HTTPServer(
             self._make_application(),
             ssl_options=tls,
-            max_body_size=BUFFER_SIZE,
-            max_buffer_size=BUFFER_SIZE,
+            max_body_size=MAX_BODY_SIZE,
+            max_buffer_size=MAX_BODY_SIZE,
             idle_connection_timeout=self._settings.idle_timeout.total_seconds(),
             body_timeout=self._settings.body_timeout.total_seconds(),
         )
@@ -75,18 +80,18 @@
             self._server = None
 
     def drop_slow_callers(self) -> None:
-        """Drop callers that take nothing in of what is streamed to them.
+        """Close the connections of callers that have stopped to read their stream.
 
-        A caller that hangs, or is half gone, would hold its stream's memory here
-        and its place on the engine for as long as TCP keeps the connection.
+        A caller that hangs, or whose connection is half open, would otherwise occupy
+        memory here and a slot of the engine for as long as TCP keeps the connection.
         """
         limit: timedelta = self._settings.progress_timeout
         oldest = self._clock.monotonic() - limit
-        for handler, sink in list(self._parts.streams):
+        for handler, sink in list(self._deps.streams):
             if sink.blocked_since is not None and sink.blocked_since < oldest:
                 handler.drop()
 
-    def _make_tls(self) -> ssl.SSLContext | None:
+    def _make_ssl_context(self) -> ssl.SSLContext | None:
         if not self._settings.certificate:
             return None
         context = ssl.SSLContext(ssl.PROTOCOL_TLS_SERVER)
@@ -102,7 +107,7 @@
         return context
 
     def _make_application(self) -> Application:
-        options = {"parts": self._parts}
+        options = {"deps": self._deps}
         return Application(
             [
                 (r"/v1/chat/completions", ChatHandler, options),
--- a/packages/mustardquay-node/src/mustardquay_node/dispatchers.py
+++ b/packages/mustardquay-node/src/mustardquay_node/dispatchers.py
@@ -1,4 +1,4 @@
-"""Dispatchers: an entry's links to agents, and the exchanges that go over them."""
+"""Dispatches the requests of an entry to agents over its links."""
 
 import asyncio
 from collections.abc import Callable, Collection, Iterable
@@ -33,19 +33,19 @@
 from .dialers import Dialer
 from .exchanges import Call, Exchange, Sink
 from .links import Identity, Link, LinkOptions
-from .views import take_back, update_view
+from .upstream_views import subtract_refused, update_view
 
 __all__ = ["Dispatcher", "DispatcherOptions"]
 
 ATTEMPT_FRAMES = (Chunk, Done, Failed, Head, Refused, Started)
 REATTACH_MARGIN = timedelta(seconds=2)
-"""Added to the time of silence, for an agent that was only slow."""
+"""Added to the heartbeat timeout, to tolerate an agent that is only slow."""
 NO_BACK_OFF = timedelta()
 
 
 @dataclass(frozen=True, slots=True)
 class DispatcherOptions:
-    """Limits of an entry's requests."""
+    """Limits on the attempts and retries of requests."""
 
     attempts: int
     retry_ratio: float
@@ -53,7 +53,7 @@
 
 @dataclass(slots=True)
 class _Peer:
-    """One agent that this entry links to."""
+    """One agent that this entry links to, with its upstream's view."""
 
     name: str
     availability_zone: str
@@ -68,7 +68,7 @@
 
 
 class Dispatcher:
-    """Chooses upstreams, keeps the links and takes frames to their exchanges."""
+    """Chooses upstreams, maintains the links and routes frames to their exchanges."""
 
     def __init__(
         self,
@@ -80,18 +80,21 @@
         events: EventRing,
         quarantine: Quarantine,
         make_heartbeat: Callable[[], Heartbeat],
-        received: Callable[[Link, Message], None],
+        on_received: Callable[[Link, Message], None],
     ):
-        """Take the parts; `received` gets what does not belong to an attempt."""
+        """Take the dependencies.
+
+        `on_received` is called with the messages that don't belong to an attempt.
+        """
         self._identity = identity
-        self._links = links
+        self._link_options = links
         self._options = options
         self._clock = clock
         self._random = random
         self._events = events
         self._quarantine = quarantine
         self._make_heartbeat = make_heartbeat
-        self._received = received
+        self._on_received = on_received
         self._index = PrefixIndex()
         self._rates = RateEstimator()
         self._budget = RetryBudget(options.retry_ratio, now=clock.monotonic())
@@ -106,25 +109,25 @@
 
     @property
     def views(self) -> list[UpstreamView]:
-        """Return what is known of the upstreams."""
+        """Return the views of all upstreams that have sent a heartbeat."""
         return [peer.view for peer in self._upstreams.values() if peer.view]
 
     @property
     def running(self) -> int:
-        """Return how many requests are on their way."""
+        """Return the number of requests in flight."""
         return len(self._exchanges)
 
     @property
     def open_links(self) -> list[Link]:
-        """Return the links that stand."""
+        """Return the open links."""
         return [peer.link for peer in self._peers.values() if peer.link is not None]
 
     def set_agents(
         self, agents: Iterable[Instance], leaving: Collection[str] = ()
     ) -> None:
-        """Link to these agents; let go of others once nothing runs there.
+        """Link to these agents, and drop others once nothing runs there.
 
-        Those that leave get no new work from now on, whatever they say themselves.
+        Agents in `leaving` get no new work from now on, whatever their heartbeats say.
         """
         for peer in self._peers.values():
             peer.leaving = peer.name in leaving
@@ -133,8 +136,8 @@
         wanted = {agent.name: agent for agent in agents}
         for name, agent in wanted.items():
             peer = self._peers.get(name)
-            place = (agent.address, agent.port)
-            if peer is not None and peer.dialer and peer.dialer.place != place:
+            endpoint = (agent.address, agent.port)
+            if peer is not None and peer.dialer and peer.dialer.endpoint != endpoint:
                 self._drop(peer)
                 peer = None
             if peer is None:
@@ -145,12 +148,12 @@
                 self._drop(peer)
 
     def find_instance(self, upstream: str) -> str:
-        """Return the instance beside an upstream; the upstream's name if unknown."""
+        """Return the instance of an upstream's agent, or the upstream if unknown."""
         peer = self._upstreams.get(upstream)
         return upstream if peer is None else peer.name
 
     def run(self, call: Call, sink: Sink) -> Exchange:
-        """Begin a request that was admitted."""
+        """Start an admitted request."""
         work = call.work
         self._budget.earn(work.customer, self.now())
         state = RequestState(
@@ -160,20 +163,20 @@
             lambda: self._budget.spend(work.customer, self.now()),
             lambda retry: self._back_off(work, retry),
         )
-        window = self._links.silence + REATTACH_MARGIN
+        window = self._link_options.heartbeat_timeout + REATTACH_MARGIN
         exchange = Exchange(call, sink, state, self, window, self._end)
         self._exchanges.add(exchange)
         self._empty.clear()
         exchange.start()
         return exchange
 
-    def beat(self) -> None:
+    def send_heartbeat(self) -> None:
         """Send a heartbeat on every link now."""
         for link in self.open_links:
-            link.beat()
+            link.send_heartbeat()
 
     async def wait_until_empty(self) -> None:
-        """Wait until no request is on its way."""
+        """Wait until no request is in flight."""
         await self._empty.wait()
 
     def close(self) -> None:
@@ -206,7 +209,7 @@
     def expect_cached(self, upstream: str, work: Work) -> int:
         """Return the prompt tokens that the upstream is expected to have cached.
 
-        From now on it is expected to have the whole prompt.
+        Also records the whole prompt as expected in its cache from now on.
         """
         if not work.prefix:
             return 0
@@ -215,7 +218,7 @@
         return cached
 
     def reserve(self, exchange: Exchange) -> int:
-        """Return a new stream number, higher than all before it."""
+        """Register a new stream and return its number, higher than all before it."""
         self._last_stream += 1
         stream = self._last_stream
         peer = self._upstreams.get(exchange.state.upstream)
@@ -228,7 +231,7 @@
         return stream
 
     def release(self, stream: int) -> None:
-        """Forget a stream; its frames are dropped from now on."""
+        """Unregister a stream; its frames are dropped from now on."""
         _, peer = self._streams.pop(stream, (None, None))
         if peer is not None:
             peer.streams.discard(stream)
@@ -243,7 +246,7 @@
         return peer.link.send(message)
 
     def reach(self, upstream: str, incarnation: int) -> bool | None:
-        """Return whether this incarnation has a link; None if it is gone."""
+        """Return whether this incarnation is linked, or None if it is gone."""
         peer = self._upstreams.get(upstream)
         if peer is None or peer.incarnation != incarnation:
             return None
@@ -291,7 +294,7 @@
         return Link(
             "entry",
             replace(self._identity, link=number),
-            self._links,
+            self._link_options,
             self._events.clock,
             lambda link: self._make_peer_heartbeat(peer),
             lambda link: self._note_open(peer, link),
@@ -307,15 +310,15 @@
 
     def _note_open(self, peer: _Peer, link: Link) -> None:
         peer.link = link
-        # A heartbeat that was lost with the last link may have carried records of
-        # crashes; they are all told again.
+        # A heartbeat lost with the previous link may have contained crash records, so
+        # all of them are sent again.
         peer.crashes_sent = 0
         peer.incarnation = link.peer.incarnation
         if peer.dialer is not None:
             peer.dialer.note_open()
         self._events.record("link.opened", peer=peer.name)
         for exchange in self._list_exchanges(peer):
-            exchange.find_link()
+            exchange.note_link_opened()
 
     def _note_lost(self, peer: _Peer, link: Link, reason: str) -> None:
         if peer.link is link:
@@ -326,35 +329,35 @@
         if self._peers.get(peer.name) is peer and peer.dialer is not None:
             peer.dialer.start()
         for exchange in self._list_exchanges(peer):
-            exchange.lose_link()
+            exchange.note_link_lost()
 
     def _note_failed_dial(self, peer: _Peer, refused: bool) -> None:
         if not refused:
             return
         for exchange in self._list_exchanges(peer):
-            exchange.lose_agent()
+            exchange.note_agent_gone()
 
     def _list_exchanges(self, peer: _Peer) -> list[Exchange]:
         return [self._streams[stream][0] for stream in sorted(peer.streams)]
 
     def _receive(self, peer: _Peer, link: Link, message: Message) -> None:
         if isinstance(message, ATTEMPT_FRAMES):
-            # A stream that was released is not found: late and crossed frames end
-            # here and can reach nobody else's caller.
+            # A released stream is not found, so late frames, and frames from another
+            # agent, are dropped and can't reach the caller of another request.
             found = self._streams.get(message.stream)
             if found is not None and found[1] is peer:
                 if isinstance(message, Refused):
-                    take_back(peer.view, found[0].call.work)
+                    subtract_refused(peer.view, found[0].call.work)
                 found[0].receive(message)
             return
         if isinstance(message, CacheEvents):
-            self._take_cache_events(peer, message)
+            self._apply_cache_events(peer, message)
             return
         if isinstance(message, Heartbeat):
-            self._take_heartbeat(peer, message)
-        self._received(link, message)
+            self._apply_heartbeat(peer, message)
+        self._on_received(link, message)
 
-    def _take_heartbeat(self, peer: _Peer, heartbeat: Heartbeat) -> None:
+    def _apply_heartbeat(self, peer: _Peer, heartbeat: Heartbeat) -> None:
         view = peer.view
         if view is None or view.name != heartbeat.upstream:
             view = UpstreamView(heartbeat.upstream, peer.availability_zone)
@@ -364,14 +367,14 @@
         update_view(view, heartbeat, self._rates, self.now())
         view.draining = view.draining or peer.leaving
         if self._quarantine.merge(heartbeat.crashes, self.now()):
-            self.beat()
+            self.send_heartbeat()
 
-    def _take_cache_events(self, peer: _Peer, message: CacheEvents) -> None:
+    def _apply_cache_events(self, peer: _Peer, message: CacheEvents) -> None:
         if peer.view is None:
             return
         name = peer.view.name
         if message.boot != peer.boot:
-            # A restarted engine has an empty cache and numbers its events anew.
+            # A restarted engine has an empty cache and restarts its event numbers.
             peer.boot = message.boot
             self._index.forget(name)
         self._index.apply(name, message.oldest, message.events)
