--- a/packages/mustardquay-node/src/mustardquay_node/forwardings.py
+++ b/packages/mustardquay-node/src/mustardquay_node/forwardings.py
@@ -128,7 +128,7 @@
         route,
         service,
         deadline=incoming.received_at + allowed,
-        fingerprint=deps.crashes.take_fingerprint(
+        fingerprint=deps.crashes.compute_fingerprint(
             incoming.method, incoming.path, incoming.body
         ),
         last_event=facts.resumes_after,
@@ -353,7 +353,7 @@
         if request.prefill is None:
             return ReadingState.NONE
         engines = deps.upstreams.list_usable(request.service)
-        loss = deps.planner.find_loss(request.prefill, engines, request.avoid)
+        loss = deps.planner.find_prefill_loss(request.prefill, engines, request.avoid)
         return ReadingState.KEPT if loss is None else ReadingState.LOST
 
     def _choose_final_step(self, send: Send) -> NextStep:
--- a/packages/mustardquay-node/src/mustardquay_node/gateway_feeds.py
+++ b/packages/mustardquay-node/src/mustardquay_node/gateway_feeds.py
@@ -1,4 +1,4 @@
-"""Gateway feeds: the tables of the platform's store that one gateway follows."""
+"""Feeds of the platform's store tables that a gateway follows."""
 
 from collections.abc import Callable, Sequence
 from dataclasses import dataclass
@@ -9,29 +9,31 @@
 from mustardquay.events import EventRing
 
 from .adapters import Adapter, StoreRow, StoreTables
-from .configuration_intakes import ConfigurationIntake
+from .configuration_loaders import ConfigurationLoader
 from .feeds import FeedListener, FeedOptions, TableFeed
 from .peers import PEERS_TABLE
 from .settings import StoreSettings
-from .upstream_intakes import UpstreamIntake
+from .upstream_list_updaters import UpstreamListUpdater
 
-__all__ = ["FeedParts", "GatewayFeeds"]
+__all__ = ["FeedDependencies", "GatewayFeeds"]
 
-CONFIGURATION_PACE = timedelta(milliseconds=20)
-"""Pause after each configuration: in a storm of them, several come in one read."""
-UPSTREAMS_PACE_SHARE = 0.25
-"""Part of the time in which an upstream that leaves must be known, between two reads:
-the list changes with each heartbeat, and each read is a call to the store."""
+CONFIGURATION_PAUSE = timedelta(milliseconds=20)
+"""Pause after each read, so that one read returns several configurations when they
+change rapidly."""
+UPSTREAMS_PAUSE_SHARE = 0.25
+"""Pause between reads, as a share of the time in which a leaving upstream must be
+noticed: the list changes with each heartbeat, and each read is a call to the store."""
 UPSTREAMS_WAIT_SHARE = 0.5
-"""The same of the time for which the store holds a read."""
+"""How long the store holds a read at most, as a share of the same time."""
 PEERS_WAIT = timedelta(seconds=20)
-"""The list of gateways seldom changes, and digests show at once who is silent."""
-PEERS_PACE = timedelta(seconds=1)
+"""Long, as the list of gateways seldom changes and missing digests reveal a gateway
+that stopped."""
+PEERS_PAUSE = timedelta(seconds=1)
 
 
 @dataclass(frozen=True, slots=True)
-class FeedParts:
-    """The store, and who takes in its rows."""
+class FeedDependencies:
+    """The store, and the components that its rows are passed to."""
 
     adapter: Adapter
     store: StoreTables
@@ -39,16 +41,16 @@
     clock: Clock
     random: Random
     events: EventRing
-    configurations: ConfigurationIntake
-    upstreams: UpstreamIntake
-    take_peers: Callable[[Sequence[StoreRow], bool], None]
+    configurations: ConfigurationLoader
+    upstreams: UpstreamListUpdater
+    apply_peer_rows: Callable[[Sequence[StoreRow], bool], None]
 
 
 class GatewayFeeds:
-    """Follows the configuration, the list of upstreams and that of gateways."""
+    """Follows the tables of configurations, upstreams and gateways."""
 
-    def __init__(self, parts: FeedParts):
-        self._parts = parts
+    def __init__(self, deps: FeedDependencies):
+        self._deps = deps
         self._configuration = self._follow_configuration()
         self._feeds = (
             self._configuration,
@@ -58,58 +60,60 @@
 
     @property
     def age(self) -> timedelta | None:
-        """Return the time since the store last answered; None before that."""
+        """Return the time since the store last answered, None before the first."""
         answers = [feed.answered_at for feed in self._feeds if feed.answered_at]
         if not answers:
             return None
-        return self._parts.clock.monotonic() - max(answers)
+        return self._deps.clock.monotonic() - max(answers)
 
     def start(self) -> None:
-        """Begin to follow."""
+        """Start to follow the tables."""
         for feed in self._feeds:
             feed.start()
 
     async def close(self) -> None:
-        """Stop to follow."""
+        """Stop following the tables."""
         for feed in self._feeds:
             await feed.close()
 
     def note_era(self) -> None:
-        """Read all tables now: the store has come back from a copy."""
+        """Read all tables again: the store was restored from a copy."""
         for feed in self._feeds:
             feed.note_era()
 
     def fetch_configuration(self) -> None:
-        """Note that there is a newer configuration, which a silent read would miss."""
+        """Start a new read of the configuration, as the pending one may hang."""
         self._configuration.wake()
 
     def _follow_configuration(self) -> TableFeed:
-        parts = self._parts
+        deps = self._deps
         options = FeedOptions(
-            parts.adapter.CONFIGURATION_TABLE,
-            parts.settings.configuration_wait,
-            CONFIGURATION_PACE,
+            deps.adapter.CONFIGURATION_TABLE,
+            deps.settings.configuration_wait,
+            CONFIGURATION_PAUSE,
         )
-        return self._make_feed(options, FeedListener(parts.configurations.take))
+        return self._make_feed(options, FeedListener(deps.configurations.apply_rows))
 
     def _follow_peers(self) -> TableFeed:
-        options = FeedOptions(PEERS_TABLE, PEERS_WAIT, PEERS_PACE)
-        return self._make_feed(options, FeedListener(self._parts.take_peers))
+        options = FeedOptions(PEERS_TABLE, PEERS_WAIT, PEERS_PAUSE)
+        return self._make_feed(options, FeedListener(self._deps.apply_peer_rows))
 
     def _follow_upstreams(self) -> TableFeed:
-        parts = self._parts
-        delay = parts.settings.upstreams_delay
+        deps = self._deps
+        delay = deps.settings.upstreams_delay
         options = FeedOptions(
-            parts.adapter.UPSTREAMS_TABLE,
-            min(parts.settings.configuration_wait, UPSTREAMS_WAIT_SHARE * delay),
-            UPSTREAMS_PACE_SHARE * delay,
+            deps.adapter.UPSTREAMS_TABLE,
+            min(deps.settings.configuration_wait, UPSTREAMS_WAIT_SHARE * delay),
+            UPSTREAMS_PAUSE_SHARE * delay,
+        )
+        updater = deps.upstreams
+        listener = FeedListener(
+            updater.apply_rows, updater.begin_grace, updater.begin_restore
         )
-        intake = parts.upstreams
-        listener = FeedListener(intake.take, intake.begin_grace, intake.begin_return)
         return self._make_feed(options, listener)
 
     def _make_feed(self, options: FeedOptions, listener: FeedListener) -> TableFeed:
-        parts = self._parts
+        deps = self._deps
         return TableFeed(
-            parts.store, options, listener, parts.events, parts.clock, parts.random
+            deps.store, options, listener, deps.events, deps.clock, deps.random
         )
--- a/packages/mustardquay-node/src/mustardquay_node/gateways.py
+++ b/packages/mustardquay-node/src/mustardquay_node/gateways.py
@@ -1,8 +1,8 @@
-"""Gateways: the process that callers meet where upstreams have no agents.
+"""The gateway process, which serves callers where upstreams run without agents.
 
-It follows the operator's configuration and the list of upstreams in the platform's
-store and sends requests to upstreams itself. It keeps nothing: a process that starts
-anew learns everything from the store and the upstreams.
+A gateway follows the operator's configuration and the list of upstreams in the
+platform's store and sends requests directly to upstreams. It has no persistent state:
+after a restart it rebuilds everything from the store and the upstreams.
 """
 
 import asyncio
@@ -19,14 +19,14 @@
 from mustardquay.version_books import TableState
 
 from .adapters import Adapter, load_adapter
-from .cache_surveys import CacheSurvey, CacheSurveyParts
+from .cache_probes import CacheProbe, CacheProbeDependencies
 from .caller_connections import CallerConnections, ConnectionOptions
-from .configuration_intakes import ConfigurationIntake
-from .digests import DigestBook, DigestParts
+from .configuration_loaders import ConfigurationLoader
+from .digest_exchanges import DigestDependencies, DigestExchange
 from .era_watches import EraWatch
 from .forwarder_dependencies import ForwarderDependencies
 from .forwarders import Forwarder
-from .gateway_feeds import FeedParts, GatewayFeeds
+from .gateway_feeds import FeedDependencies, GatewayFeeds
 from .gateway_metrics import GatewayMetrics
 from .gateway_servers import GatewayServers
 from .gateway_stops import GatewayStop, StopDependencies
@@ -35,19 +35,19 @@
 from .seeds import make_seed
 from .settings import GatewaySettings
 from .settings_watches import SettingsWatch
-from .stage_keepers import StageKeeper, StageKeeperParts
-from .upstream_intakes import UpstreamIntake
+from .stage_controllers import StageController, StageControllerDependencies
+from .upstream_list_updaters import UpstreamListUpdater
 
 __all__ = ["Gateway"]
 
-SETTLE_LIMIT = timedelta(milliseconds=200)
-"""How long a gateway that has ended waits for requests that are half read."""
-TICK = timedelta(milliseconds=500)
-"""Time between two looks at what changes by time alone."""
+DRAIN_LIMIT = timedelta(milliseconds=200)
+"""How long a stopped gateway waits for requests that are only partly received."""
+CHECK_INTERVAL = timedelta(milliseconds=500)
+"""Interval of periodic checks: expired upstreams, settings files and readiness."""
 
 
 class Gateway:
-    """One gateway."""
+    """A gateway process: its components, their wiring and their life cycle."""
 
     def __init__(
         self,
@@ -69,75 +69,75 @@
         self._metrics = GatewayMetrics(node.name, node.availability_zone)
         self._upstreams = self._make_upstreams()
         self._stop = self._make_stop()
-        self._forwarder = Forwarder(self._make_parts())
+        self._forwarder = Forwarder(self._make_forwarder_dependencies())
         self._eras = EraWatch(self._events)
         self._store = self._adapter.open_store(
             settings.store.address, self._clock, self._eras
         )
-        self._intake = UpstreamIntake(
+        self._list_updater = UpstreamListUpdater(
             self._adapter,
             self._upstreams.list,
             self._events,
             self._clock,
             self._upstreams.forget,
-            self._note_leaving,
+            self._note_draining,
         )
-        self._configurations = ConfigurationIntake(
+        self._configurations = ConfigurationLoader(
             self._adapter,
             self._events,
             self._clock,
-            self._put_table,
+            self._activate_table,
             self._upstreams.planner.list_configurations,
             lambda: self._settings.bounds.configuration_delay,
         )
-        self._digests = self._make_digests()
+        self._digest_exchange = self._make_digest_exchange()
         self._peers = self._make_peers()
-        self._keeper = self._make_keeper()
-        self._survey = self._make_survey()
+        self._stage_controller = self._make_stage_controller()
+        self._cache_probe = self._make_cache_probe()
         self._feeds = self._make_feeds()
-        for each in (self._keeper, self._feeds, self._peers):
+        for each in (self._stage_controller, self._feeds, self._peers):
             self._eras.listen(each.note_era)
         self._connections = CallerConnections(
             ConnectionOptions(self._clock, self._get_limits, self._forwarder.handle)
         )
         self._servers = GatewayServers(self._upstreams.free_descriptors)
-        self._ticker: asyncio.Task[None] | None = None
-        self._closing: asyncio.Task[None] | None = None
+        self._check_task: asyncio.Task[None] | None = None
+        self._close_task: asyncio.Task[None] | None = None
         self._address = settings.gateway.listen
         self._was_ready = False
         self._watch = SettingsWatch(files, settings, self._events, self._take_settings)
 
     @property
     def is_ready(self) -> bool:
-        """Return whether callers may be sent here."""
+        """Return whether this gateway accepts new callers."""
         return (
             not self._stop.has_begun
             and self._forwarder.table is not None
             and self._upstreams.list.is_known
-            and self._configurations.judge() is not TableState.OUTDATED
+            and self._configurations.find_state() is not TableState.OUTDATED
         )
 
     @property
     def address(self) -> str:
-        """Return the address for callers; with the real port after `start`."""
+        """Return the address for callers; after `start`, with the port in use."""
         return self._address
 
     @property
     def version(self) -> int:
-        """Return the version of the configuration in force, 0 before the first."""
+        """Return the version of the active configuration, 0 before the first."""
         return self._configurations.version
 
     @property
     def events(self) -> EventRing:
-        """Return the ring of this process's events."""
+        """Return the ring buffer of this process's events."""
         return self._events
 
     def list_upstreams(self) -> list[UpstreamRecord]:
-        """Return the upstreams that are listed."""
+        """Return the records of all listed upstreams."""
         return list(self._upstreams.list)
 
     async def start(self) -> None:
-        """Listen, and begin to follow the store."""
+        """Open the listeners and start to follow the store."""
         self._metrics.start(self._make_gauges())
         gateway = self._settings.gateway
         self._address = self._servers.listen_to_callers(
@@ -151,44 +151,44 @@
             self._servers.serve_metrics(address, self._metrics.render)
         await self._peers.start()
         self._feeds.start()
-        self._keeper.start()
-        self._survey.start()
-        self._ticker = asyncio.create_task(self._tick_forever())
+        self._stage_controller.start()
+        self._cache_probe.start()
+        self._check_task = asyncio.create_task(self._check_forever())
         self._events.record("process.started", kind_of_process="gateway")
         self._warn_of_short_drain()
 
     def _warn_of_short_drain(self) -> None:
-        """Tell the operator of a time to drain in which callers can't be moved."""
+        """Warn of a drain timeout shorter than the load balancer needs to react."""
         timeout = self._settings.gateway.drain_timeout
         if timeout < BALANCER_NOTICE:
             self._events.record(
                 "settings.short_drain",
                 drain_ms=timeout // timedelta(milliseconds=1),
                 least_ms=BALANCER_NOTICE // timedelta(milliseconds=1),
-                remedy="Raise drain_timeout; callers come until the balancer notices.",
+                remedy="Raise drain_timeout; callers arrive until the balancer reacts.",
             )
 
     async def close(self) -> None:
-        """Let the requests end, within the time to drain, and stop.
+        """Drain requests in flight, for at most the drain timeout, and stop.
 
-        Who asks again waits for the end that has begun.
+        Idempotent: further calls wait for the shutdown in progress.
         """
-        if self._closing is None:
-            self._closing = asyncio.create_task(self._close())
-        await asyncio.shield(self._closing)
+        if self._close_task is None:
+            self._close_task = asyncio.create_task(self._close())
+        await asyncio.shield(self._close_task)
 
     async def _close(self) -> None:
         await self._stop.run(self._settings.gateway.drain_timeout)
         self._servers.stop_accepting()
         self._connections.close_idle()
-        # Before anything that waits for the store, and before the connections are
-        # closed, which would look as if the callers had left.
+        # Must precede every step that waits for the store, and the closing of caller
+        # connections, which would be taken for callers that disconnected.
         await self._forwarder.close()
-        await self._connections.drain(SETTLE_LIMIT)
-        if self._ticker is not None:
-            self._ticker.cancel()
-        await self._keeper.close()
-        await self._survey.close()
+        await self._connections.drain(DRAIN_LIMIT)
+        if self._check_task is not None:
+            self._check_task.cancel()
+        await self._stage_controller.close()
+        await self._cache_probe.close()
         await self._feeds.close()
         await self._peers.close()
         await self._servers.close()
@@ -198,7 +198,7 @@
         self._events.record("process.stopped")
 
     def reload(self) -> None:
-        """Read the settings again; what can't change in a running process is told."""
+        """Reload the settings; report a changed setting that needs a restart."""
         self._watch.reload()
 
     def _take_settings(self, settings: GatewaySettings) -> None:
@@ -211,7 +211,7 @@
         self._upstreams.apply_bounds(settings.bounds)
 
     def _make_upstreams(self) -> GatewayUpstreams:
-        parts = UpstreamDependencies(
+        deps = UpstreamDependencies(
             adapter=self._adapter,
             clock=self._clock,
             random=self._random,
@@ -221,24 +221,24 @@
             note_change=lambda: self._peers.note_change(),
             close_idle_callers=lambda: self._connections.close_idle(),
         )
-        return GatewayUpstreams(self._settings, parts)
+        return GatewayUpstreams(self._settings, deps)
 
     def _make_stop(self) -> GatewayStop:
         node = self._settings.node
-        parts = StopDependencies(
+        deps = StopDependencies(
             name=node.name,
             availability_zone=node.availability_zone,
             clock=self._clock,
             random=self._random,
             events=self._events,
             count_in_flight=lambda: self._forwarder.in_flight,
-            notify_peers=lambda: self._peers.hurry(),
+            notify_peers=lambda: self._peers.send_now(),
             end_keep_alive=self._end_keep_alive,
             close_idle=lambda: self._connections.close_idle(),
         )
-        return GatewayStop(parts)
+        return GatewayStop(deps)
 
-    def _make_parts(self) -> ForwarderDependencies:
+    def _make_forwarder_dependencies(self) -> ForwarderDependencies:
         return ForwarderDependencies(
             adapter=self._adapter,
             clock=self._clock,
@@ -252,15 +252,15 @@
             crashes=self._upstreams.crashes,
             planner=self._upstreams.planner,
             stop=self._stop,
-            find_table_state=lambda: self._configurations.judge(),
+            find_table_state=lambda: self._configurations.find_state(),
             count_answer=self._metrics.count_answer,
             count_send=self._metrics.count_send,
-            count_unused_prefill=self._metrics.count_unused_reading,
+            count_unused_prefill=self._metrics.count_unused_prefill,
             record_first_byte=self._metrics.record_first_byte,
         )
 
     def _make_feeds(self) -> GatewayFeeds:
-        parts = FeedParts(
+        deps = FeedDependencies(
             adapter=self._adapter,
             store=self._store,
             settings=self._settings.store,
@@ -268,10 +268,10 @@
             random=self._random,
             events=self._events,
             configurations=self._configurations,
-            upstreams=self._intake,
-            take_peers=self._peers.take_rows,
+            upstreams=self._list_updater,
+            apply_peer_rows=self._peers.apply_rows,
         )
-        return GatewayFeeds(parts)
+        return GatewayFeeds(deps)
 
     def _make_gauges(self) -> dict[str, Callable[[], float]]:
         return {
@@ -294,9 +294,9 @@
         age = self._feeds.age
         return float("inf") if age is None else age.total_seconds()
 
-    def _make_digests(self) -> DigestBook:
+    def _make_digest_exchange(self) -> DigestExchange:
         node = self._settings.node
-        parts = DigestParts(
+        deps = DigestDependencies(
             name=node.name,
             availability_zone=node.availability_zone,
             clock=self._clock,
@@ -308,7 +308,7 @@
             is_ready=lambda: self.is_ready,
             fetch_configuration=lambda: self._feeds.fetch_configuration(),
         )
-        return DigestBook(parts)
+        return DigestExchange(deps)
 
     def _make_peers(self) -> PeerLink:
         node, gateway = self._settings.node, self._settings.gateway
@@ -318,14 +318,14 @@
             self._store,
             self._clock,
             self._events,
-            self._digests.build,
-            self._digests.hear,
-            self._digests.note_listed,
+            self._digest_exchange.build,
+            self._digest_exchange.apply_digest,
+            self._digest_exchange.set_gateways,
             self._random,
         )
 
-    def _make_keeper(self) -> StageKeeper:
-        parts = StageKeeperParts(
+    def _make_stage_controller(self) -> StageController:
+        deps = StageControllerDependencies(
             adapter=self._adapter,
             store=self._store,
             clock=BootTimeClock(),
@@ -337,25 +337,25 @@
             call=self._upstreams.call_engine,
             count_streams=self._upstreams.planner.count_streams,
             measure_capacities=self._upstreams.measure_capacities,
-            tell_changing=self._tell_changing,
+            announce_changing=self._announce_changing,
             is_serving=lambda: self._forwarder.has_served,
         )
-        holder = f"{self._settings.node.name}-{self._digests.incarnation}"
-        return StageKeeper(holder, parts)
+        holder = f"{self._settings.node.name}-{self._digest_exchange.incarnation}"
+        return StageController(holder, deps)
 
-    def _make_survey(self) -> CacheSurvey:
-        parts = CacheSurveyParts(
+    def _make_cache_probe(self) -> CacheProbe:
+        deps = CacheProbeDependencies(
             adapter=self._adapter,
             events=self._events,
             list_upstreams=self.list_upstreams,
             call=self._upstreams.call_engine,
-            take_held=self._upstreams.planner.take_held,
+            add_cached_parts=self._upstreams.planner.add_cached_parts,
         )
-        return CacheSurvey(parts)
+        return CacheProbe(deps)
 
-    def _tell_changing(self, engines: Collection[str]) -> None:
-        self._upstreams.planner.tell_changing(engines)
-        self._peers.hurry()
+    def _announce_changing(self, engines: Collection[str]) -> None:
+        self._upstreams.planner.set_changing(engines)
+        self._peers.send_now()
 
     def _list_engine_services(self) -> list[str]:
         table = self._forwarder.table
@@ -363,29 +363,29 @@
             return []
         return [name for name, each in table.services.items() if each.engine]
 
-    def _put_table(self, table: RoutingTable) -> None:
+    def _activate_table(self, table: RoutingTable) -> None:
         self._forwarder.put_table(table)
-        # Others learn by it that there is something to read.
-        self._peers.hurry()
+        # The digest shows the other gateways that a newer version can be fetched.
+        self._peers.send_now()
         self._servers.apply_limits(table.limits)
-        self._upstreams.planner.take_table(table)
+        self._upstreams.planner.apply_table(table)
 
     def _get_limits(self) -> CallerLimits:
         table = self._forwarder.table
         return table.limits if table is not None else CallerLimits()
 
-    def _note_leaving(self, record: UpstreamRecord) -> None:
+    def _note_draining(self, record: UpstreamRecord) -> None:
         if record.stage is Stage.DECODE:
-            self._keeper.hurry()
+            self._stage_controller.check_now()
 
     def _end_keep_alive(self) -> None:
         self._servers.end_connections()
         self._connections.end_keep_alive()
 
-    async def _tick_forever(self) -> None:
+    async def _check_forever(self) -> None:
         while True:
-            await asyncio.sleep(TICK.total_seconds())
-            self._intake.expire()
+            await asyncio.sleep(CHECK_INTERVAL.total_seconds())
+            self._list_updater.expire()
             self._watch.check()
             if self.is_ready != self._was_ready:
                 self._was_ready = self.is_ready
--- /dev/null
+++ b/packages/mustardquay-node/src/mustardquay_node/stage_controllers.py
@@ -0,0 +1,308 @@
+"""Control of the stages of engines by the one gateway that holds a lease.
+
+Engines that gateways control don't check fencing tokens, so orders of two holders must
+be kept apart in time: after a renewal the holder may give orders only for
+`ORDER_VALIDITY`, while a challenger waits `LEASE_TERM` before it takes over. The lease
+is renewed just before an order. While no change is due, gateways only observe it from
+time to time, so that the absence of a failed holder is already established when a
+change becomes due.
+"""
+
+import asyncio
+from collections.abc import Callable, Collection, Mapping, Sequence
+from dataclasses import dataclass
+from datetime import timedelta
+from random import Random
+
+from mustardquay.clocks import Clock
+from mustardquay.errors import MustardquayError
+from mustardquay.events import EventRing
+from mustardquay.leases import HEARTBEATS, LEASES, Lease, LeaseRows
+from mustardquay.stage_plans import StageChange, StagePlanner
+from mustardquay.upstream_lists import Stage, UpstreamList, UpstreamRecord
+
+from .adapters import Adapter, EngineReport, StoreTables
+from .engine_calls import CallEngine, EngineCall
+
+__all__ = ["StageController", "StageControllerDependencies"]
+
+LEASE_DOMAIN = "stages"
+ORDER_VALIDITY = timedelta(seconds=0.7)
+"""How long the holder may give orders after it sent a renewal."""
+LEASE_TERM = timedelta(seconds=4.4)
+"""How long a challenger must observe no renewal before it takes over. The platform
+treats orders of two holders within 3 s as a conflict; the sum of `ORDER_VALIDITY`,
+these 3 s and 0.5 s for calls that hang is less than the term."""
+OBSERVE_INTERVAL = timedelta(seconds=10)
+"""Interval at which the lease is observed while no change is due, from the start on.
+Each observation is two calls. If the lease was not renewed since the last one, the term
+has already passed and need not be waited out while no engine generates."""
+RUN_INTERVAL = timedelta(seconds=1)
+"""Mean interval of the control loop."""
+SHORT_INTERVAL = timedelta(milliseconds=150)
+"""Shorter interval after a decoding engine has started to drain."""
+SHORT_INTERVALS = 4
+"""Number of shorter intervals; the planner waits 0.3 s in case the engine returns."""
+STARTUP_DELAY = timedelta(seconds=3)
+"""Time after the start in which no orders are given: the list of engines fills up as
+they write their first records, and an incomplete list results in a different plan."""
+NOTICE_PERIOD = timedelta(milliseconds=90)
+"""Time between the notice to other gateways, in a digest sent at once, and the order:
+an engine that changes its stage refuses requests that it has not started."""
+ORDER_TIMEOUT = timedelta(seconds=6)
+"""How long an engine may report its old stage after an order before a new order is
+considered. A change takes some 3 s, and the record is written every 1.2 s."""
+ACCEPTED_STATUSES = (200, 202)
+"""HTTP status codes of accepted orders."""
+
+
+@dataclass(slots=True)
+class StageControllerDependencies:
+    """Dependencies of a `StageController`."""
+
+    adapter: Adapter
+    store: StoreTables
+    clock: Clock
+    """A clock that keeps running while the machine is suspended."""
+    random: Random
+    events: EventRing
+    upstreams: UpstreamList
+    is_lost: Callable[[str], bool]
+    """Returns whether an engine has been unreachable for long."""
+    list_services: Callable[[], list[str]]
+    """Lists the services whose upstreams are engines."""
+    call: CallEngine
+    count_streams: Callable[[str], int]
+    """Returns the number of generations running at an engine."""
+    measure_capacities: Callable[[Sequence[UpstreamRecord]], Mapping[str, float]]
+    """Returns the share of its usual work that rate limits permit, by engine."""
+    announce_changing: Callable[[Collection[str]], None]
+    """Notifies all gateways of engines that change their stage and accept no work."""
+    is_serving: Callable[[], bool]
+    """Returns whether this gateway has served callers."""
+
+
+@dataclass(slots=True)
+class _Ordered:
+    stage: Stage
+    at: timedelta
+
+
+class StageController:
+    """Orders changes of stages that are due, after it has acquired the lease."""
+
+    def __init__(self, name: str, deps: StageControllerDependencies):
+        """Initialise the controller; `name` must differ for each start of a process."""
+        self._name = name
+        self._deps = deps
+        self._planner = StagePlanner()
+        self._lease = Lease(LEASE_DOMAIN, name, LEASE_TERM, ORDER_VALIDITY)
+        self._ordered: dict[str, _Ordered] = {}
+        self._started = deps.clock.monotonic()
+        self._observed_at: timedelta | None = None
+        self._task: asyncio.Task[None] | None = None
+        self._wakeup = asyncio.Event()
+        self._short_intervals_left = 0
+
+    def start(self) -> None:
+        """Start the control loop."""
+        self._task = asyncio.create_task(self._run())
+
+    async def close(self) -> None:
+        """Stop without releasing the lease: another holder must wait out its term."""
+        if self._task is not None:
+            self._task.cancel()
+            await asyncio.gather(self._task, return_exceptions=True)
+
+    def check_now(self) -> None:
+        """Plan without waiting for the interval: a decoding engine starts to drain.
+
+        A change of stage makes an engine unavailable for seconds, and the loss of
+        another one during that time would leave no engine to generate. The usual
+        interval of a second plus the planner's wait delayed an order by 1.7 s, and all
+        generations were refused for 1.5 s.
+        """
+        self._short_intervals_left = SHORT_INTERVALS
+        self._wakeup.set()
+
+    def note_era(self) -> None:
+        """Give up the lease immediately: the store was restored from a copy.
+
+        Another gateway may have taken it over since the copy was made and may already
+        give orders.
+        """
+        now = self._deps.clock.monotonic()
+        if self._lease.is_held(now):
+            self._deps.events.record(
+                "lease.ended", domain=LEASE_DOMAIN, fence=self._lease.order_fence.number
+            )
+        self._lease.begin_era(self._deps.store.era, now)
+
+    async def _run(self) -> None:
+        while True:
+            await self._wait()
+            try:
+                await self.run_once()
+            except MustardquayError as error:
+                self._deps.events.record("stage.turn_failed", error=str(error))
+
+    async def _wait(self) -> None:
+        jitter = 0.5 + self._deps.random.random()
+        if self._short_intervals_left:
+            self._short_intervals_left -= 1
+            await asyncio.sleep(SHORT_INTERVAL.total_seconds() * jitter)
+            return
+        try:
+            async with asyncio.timeout(RUN_INTERVAL.total_seconds() * jitter):
+                await self._wakeup.wait()
+        except TimeoutError:
+            return
+        self._wakeup.clear()
+
+    async def run_once(self) -> None:
+        """Order the changes that are due, if this process can hold the lease."""
+        if self._is_observation_due():
+            await self._observe()
+        if self._deps.clock.monotonic() - self._started < STARTUP_DELAY:
+            return
+        changes = self._plan()
+        if not changes:
+            return
+        if not await self._renew():
+            return
+        for change in changes:
+            if not self._lease.is_held(self._deps.clock.monotonic()):
+                return
+            await self._order(change)
+
+    def _plan(self) -> list[StageChange]:
+        deps = self._deps
+        now = deps.clock.monotonic()
+        changes: list[StageChange] = []
+        for service in deps.list_services():
+            engines = [
+                engine
+                for engine in deps.upstreams.list_usable(service)
+                if engine.stage is not Stage.NONE
+            ]
+            self._forget_completed(engines, now)
+            ordered = {id: each.stage for id, each in self._ordered.items()}
+            if engines:
+                changes += self._planner.plan(
+                    service,
+                    engines,
+                    ordered,
+                    sum(deps.count_streams(engine.id) for engine in engines),
+                    now,
+                    deps.is_serving(),
+                    {engine.id for engine in engines if deps.is_lost(engine.id)},
+                    self._measure_capacities(engines),
+                )
+        return changes
+
+    def _measure_capacities(self, engines: list[UpstreamRecord]) -> Mapping[str, float]:
+        decoders = [engine for engine in engines if engine.stage is Stage.DECODE]
+        return self._deps.measure_capacities(decoders)
+
+    def _forget_completed(self, engines: list[UpstreamRecord], now: timedelta) -> None:
+        for engine in engines:
+            ordered = self._ordered.get(engine.id)
+            if ordered is None:
+                continue
+            if engine.stage is ordered.stage or now - ordered.at > ORDER_TIMEOUT:
+                del self._ordered[engine.id]
+                self._deps.announce_changing(set(self._ordered))
+
+    def _is_observation_due(self) -> bool:
+        if not self._deps.list_services():
+            return False
+        if self._observed_at is None:
+            return True
+        return self._deps.clock.monotonic() - self._observed_at >= OBSERVE_INTERVAL
+
+    async def _observe(self) -> None:
+        deps = self._deps
+        self._observed_at = deps.clock.monotonic()
+        lease = await deps.store.read(LEASES, LEASE_DOMAIN)
+        era = deps.store.era
+        heartbeat = await deps.store.read(HEARTBEATS, LEASE_DOMAIN)
+        if deps.store.era != era:
+            # The store was restored between the two reads.
+            self.note_era()
+            return
+        rows = LeaseRows(lease, heartbeat, era)
+        self._lease.observe(rows, deps.clock.monotonic())
+
+    async def _renew(self) -> bool:
+        deps = self._deps
+        store = deps.store
+        await self._observe()
+        transaction = self._lease.propose(deps.clock.monotonic())
+        if transaction is None:
+            return False
+        fence = self._lease.order_fence
+        result = await store.transact(transaction)
+        self._lease.handle_result(result, transaction, deps.clock.monotonic())
+        if self._lease.order_fence != fence:
+            number = self._lease.order_fence.number
+            deps.events.record("lease.taken", domain=LEASE_DOMAIN, fence=number)
+        return self._lease.is_held(deps.clock.monotonic())
+
+    async def _order(self, change: StageChange) -> None:
+        engine = change.engine
+        report = await self._fetch_report(engine)
+        if report is None or report.is_switching or report.stage is change.stage:
+            self._log(change, "not_due", 0)
+            if report is not None:
+                now = self._deps.clock.monotonic()
+                self._ordered[engine.id] = _Ordered(change.stage, now)
+            return
+        now = self._deps.clock.monotonic()
+        if not self._lease.is_held(now):
+            return
+        self._ordered[engine.id] = _Ordered(change.stage, now)
+        self._deps.announce_changing(set(self._ordered))
+        await asyncio.sleep(NOTICE_PERIOD.total_seconds())
+        if not self._lease.is_held(self._deps.clock.monotonic()):
+            return
+        adapter = self._deps.adapter
+        body = adapter.build_order(
+            change.stage,
+            self._name,
+            self._lease.order_fence.number,
+            report.orders_accepted,
+        )
+        exchange = await self._deps.call(
+            engine, EngineCall("POST", adapter.ORDER_PATH, body)
+        )
+        status = exchange.head.status if exchange and exchange.head else 0
+        if not status:
+            # The order may still be carried out seconds later. The next order expects
+            # the same number of previous orders, so only one of the two is accepted.
+            del self._ordered[engine.id]
+            self._deps.announce_changing(set(self._ordered))
+        self._log(change, _name_outcome(status), status)
+
+    async def _fetch_report(self, engine: UpstreamRecord) -> EngineReport | None:
+        adapter = self._deps.adapter
+        call = EngineCall("GET", adapter.REPORT_PATH)
+        exchange = await self._deps.call(engine, call)
+        if exchange is None or exchange.head is None or exchange.head.status != 200:
+            return None
+        return adapter.read_report(exchange.content)
+
+    def _log(self, change: StageChange, outcome: str, status: int) -> None:
+        self._deps.events.record(
+            "stage.ordered",
+            upstream=change.engine.id,
+            stage=change.stage.value,
+            fence=self._lease.order_fence.number,
+            outcome=outcome,
+            status=status,
+        )
+
+
+def _name_outcome(status: int) -> str:
+    if status in ACCEPTED_STATUSES:
+        return "accepted"
+    return "refused" if status else "unanswered"
--- a/packages/mustardquay-node/tests/test_stage_keepers.py
+++ b/packages/mustardquay-node/tests/test_stage_controllers.py
@@ -6,13 +6,13 @@
 from mustardquay.events import EventRing, HybridClock
 from mustardquay.leases import HEARTBEATS, LEASES, Lease, LeaseRows
 from mustardquay.upstream_lists import Stage, UpstreamList, UpstreamRecord
-from mustardquay_node.stage_keepers import (
-    DOMAIN,
+from mustardquay_node.stage_controllers import (
+    LEASE_DOMAIN,
     LEASE_TERM,
     OBSERVE_INTERVAL,
     ORDER_VALIDITY,
-    StageKeeper,
-    StageKeeperParts,
+    StageController,
+    StageControllerDependencies,
 )
 from mustardquay_standins.stores import LocalTables
 
@@ -22,12 +22,12 @@
 ]
 
 
-async def reach_nobody(engine, call):
-    """Call an engine that does not answer."""
+async def call_unreachable(engine, call):
+    """Stand in for a call to an engine that does not answer."""
 
 
 class Fleet:
-    """A keeper, its store, and engines, of which none generates after `lose`."""
+    """A controller, its store and engines; none generates after `lose_decoders`."""
 
     def __init__(self):
         self.clock = VirtualClock()
@@ -35,9 +35,9 @@
         self.store = LocalTables()
         self.events = EventRing("g", HybridClock(self.clock), 100)
         self.upstreams = UpstreamList()
-        self.keeper = StageKeeper("g-1", self._make_parts())
+        self.controller = StageController("g-1", self._make_dependencies())
 
-    def _make_parts(self):
+    def _make_dependencies(self):
         class Adapter:
             REPORT_PATH = "/report"
 
@@ -45,7 +45,7 @@
             def build_headers(base, target):
                 return base
 
-        return StageKeeperParts(
+        return StageControllerDependencies(
             adapter=Adapter,
             store=self.store,
             clock=self.clock,
@@ -54,116 +54,117 @@
             upstreams=self.upstreams,
             is_lost=lambda id: False,
             list_services=lambda: ["llm"],
-            call=reach_nobody,
+            call=call_unreachable,
             count_streams=lambda id: 0,
             measure_capacities=lambda engines: {},
-            tell_changing=lambda ids: None,
+            announce_changing=lambda ids: None,
             is_serving=lambda: True,
         )
 
-    def lose(self):
+    def lose_decoders(self):
         for engine in READERS:
             self.upstreams.put(engine)
 
     async def renew_as_another(self, lease):
         rows = LeaseRows(
-            await self.store.read(LEASES, DOMAIN),
-            await self.store.read(HEARTBEATS, DOMAIN),
+            await self.store.read(LEASES, LEASE_DOMAIN),
+            await self.store.read(HEARTBEATS, LEASE_DOMAIN),
         )
         lease.observe(rows, self.clock.monotonic())
         transaction = lease.propose(self.clock.monotonic())
         lease.handle_result(await self.store.transact(transaction), transaction)
 
-    def is_taken(self):
+    def is_lease_taken(self):
         return any(each.kind == "lease.taken" for each in self.events.list_events())
 
 
 def make_other():
-    return Lease(DOMAIN, "other", LEASE_TERM, ORDER_VALIDITY)
+    return Lease(LEASE_DOMAIN, "other", LEASE_TERM, ORDER_VALIDITY)
 
 
 async def test_a_holder_that_died_long_ago_is_replaced_without_waiting_out_its_term():
-    """For 18 s nobody gets an answer, as three engines read and none generates.
+    """Guards against 18 s without answers, as three engines prefill and none generates.
 
-    The gateway that held the lease was restarted. Another one first looked at the
-    lease when the change was due and waited for the term; before it was over, all
-    processes were killed, and the next ones began to wait only once they had settled.
+    The gateway that held the lease was restarted. Another one first observed the lease
+    when the change was due and waited out its term. Before the term was over, all
+    processes were killed, and their successors began to wait only after their startup
+    delay.
     """
     fleet = Fleet()
     await fleet.renew_as_another(make_other())
-    await fleet.keeper.turn()
+    await fleet.controller.run_once()
     fleet.clock.advance(LEASE_TERM + timedelta(milliseconds=1))
-    fleet.lose()
-    await fleet.keeper.turn()
-    assert fleet.is_taken()
+    fleet.lose_decoders()
+    await fleet.controller.run_once()
+    assert fleet.is_lease_taken()
 
 
 async def test_a_holder_that_renewed_since_is_waited_for():
-    """Two gateways order one engine within the time that the platform forbids.
+    """Guards against orders of two gateways within the time that the platform forbids.
 
-    The lease was seen ten seconds ago, and its holder has renewed it since.
+    The lease was observed ten seconds ago, and its holder has renewed it since.
     """
     fleet = Fleet()
     other = make_other()
     await fleet.renew_as_another(other)
-    await fleet.keeper.turn()
+    await fleet.controller.run_once()
     fleet.clock.advance(LEASE_TERM * 2)
     await fleet.renew_as_another(other)
-    fleet.lose()
+    fleet.lose_decoders()
     for _ in range(4):
-        await fleet.keeper.turn()
-        assert not fleet.is_taken()
+        await fleet.controller.run_once()
+        assert not fleet.is_lease_taken()
         fleet.clock.advance(LEASE_TERM / 4 - timedelta(milliseconds=1))
     fleet.clock.advance(timedelta(seconds=1))
-    await fleet.keeper.turn()
-    assert fleet.is_taken()
+    await fleet.controller.run_once()
+    assert fleet.is_lease_taken()
 
 
-class CountingKeeper(StageKeeper):
-    """Counts its turns."""
+class CountingController(StageController):
+    """Counts its runs."""
 
-    turns = 0
+    runs = 0
 
-    async def turn(self):
-        self.turns += 1
+    async def run_once(self):
+        self.runs += 1
 
 
-async def test_an_engine_that_leaves_is_replaced_at_once():
-    """All generations are refused for 1.5 s.
+async def test_a_draining_decoder_is_replaced_at_once():
+    """Guards against 1.5 s in which all generations are refused.
 
-    One of two engines that generate leaves, and the other one crashes three seconds
-    later. The order to a third one came 1.7 s after the first had said that it leaves.
+    One of two decoders drains, and the other one crashes three seconds later. The order
+    to a third engine was given 1.7 s after the first one had announced that it drains.
     """
-    keeper = CountingKeeper("g-1", Fleet()._make_parts())
-    keeper.start()
+    controller = CountingController("g-1", Fleet()._make_dependencies())
+    controller.start()
     await asyncio.sleep(0.05)
-    assert keeper.turns == 0
-    keeper.hurry()
+    assert controller.runs == 0
+    controller.check_now()
     await asyncio.sleep(0.75)
-    await keeper.close()
-    # The planner waits 0.3 s between the turn that sees the lack and the order.
-    assert keeper.turns >= 3
+    await controller.close()
+    # The planner waits 0.3 s between the run that detects the loss and the order.
+    assert controller.runs >= 3
 
 
-async def test_at_rest_the_lease_is_seldom_looked_at():
+async def test_an_idle_controller_seldom_observes_the_lease():
     fleet = Fleet()
     for _ in range(30):
-        await fleet.keeper.turn()
+        await fleet.controller.run_once()
         fleet.clock.advance(timedelta(seconds=1))
     assert fleet.store.counters.reads == 2 * 30 // OBSERVE_INTERVAL.seconds
 
 
-async def test_a_holder_gives_up_the_lease_as_the_store_comes_back_from_a_copy():
-    """Guards against two gateways that order: the copy may name another holder."""
+async def test_a_holder_gives_up_the_lease_when_the_store_is_restored():
+    """Guards against orders of two gateways: the copy may name another holder."""
     fleet = Fleet()
     fleet.store.era = 1
-    fleet.lose()
-    await fleet.keeper.turn()
+    fleet.lose_decoders()
+    await fleet.controller.run_once()
     fleet.clock.advance(LEASE_TERM)
-    await fleet.keeper.turn()
-    assert fleet.is_taken()
+    await fleet.controller.run_once()
+    assert fleet.is_lease_taken()
     fleet.store.era = 2
-    fleet.keeper.note_era()
+    fleet.controller.note_era()
     assert [
         each.kind
         for each in fleet.events.list_events()
@@ -171,6 +172,6 @@
     ] == ["lease.taken", "lease.ended"]
     for _ in range(3):
         fleet.clock.advance(LEASE_TERM / 4)
-        await fleet.keeper.turn()
+        await fleet.controller.run_once()
     taken = [e for e in fleet.events.list_events() if e.kind == "lease.taken"]
     assert len(taken) == 1
