--- a/packages/mustardquay-node/src/mustardquay_node/claim_writers.py
+++ b/packages/mustardquay-node/src/mustardquay_node/claim_writers.py
@@ -17,14 +17,14 @@
 
 from mustardquay.claims import (
     Claim,
+    ClaimDecision,
+    ClaimResult,
     ClaimState,
     ClaimWrite,
-    Judgement,
-    Verdict,
     decode_claim,
     group_writes,
-    judge_claim,
-    settle_write,
+    rebase_final_write,
+    resolve_claim,
     split_conflict,
 )
 from mustardquay.clocks import Clock
@@ -48,7 +48,7 @@
     """A queued write, until its result is known."""
 
     claim: Claim
-    result: "asyncio.Future[Judgement | bool]"
+    result: "asyncio.Future[ClaimResult | bool]"
     is_new: bool
     """Whether it creates a claim; otherwise it writes a claim's final state."""
     may_be_applied: bool = False
@@ -120,7 +120,7 @@
             logger.warning("%d claim writes lost on shutdown", len(self._waiting))
 
     def begin(self, claim: Claim) -> QueuedWrite:
-        """Queue a new claim; its result is a `Judgement`, which may be `JOIN`."""
+        """Queue a new claim; its result is a `ClaimResult`, which may be `JOIN`."""
         return self._queue(claim, is_new=True)
 
     def end(self, claim: Claim) -> "asyncio.Future[bool]":
@@ -137,9 +137,9 @@
         """
         item.abandoned = True
         if item.result.done():
-            judged = item.result.result()
-            if judged.verdict is Verdict.RUN:
-                self._release(judged.claim)
+            resolved = item.result.result()
+            if resolved.decision is ClaimDecision.RUN:
+                self._release(resolved.claim)
         elif item not in self._in_flight:
             self._waiting.remove(item)
             self._withdraw(item)
@@ -234,7 +234,7 @@
         for item, revision in zip(batch, result.revisions, strict=True):
             if item.is_new:
                 claim = replace(item.claim, revision=revision)
-                self._set_claim_result(item, Judgement(Verdict.RUN, claim))
+                self._set_claim_result(item, ClaimResult(ClaimDecision.RUN, claim))
             else:
                 self._set_end_result(item, True)
 
@@ -255,13 +255,13 @@
 
     def _note_row(self, item: QueuedWrite, row: Row | None) -> None:
         if item.is_new:
-            judged = judge_claim(item.claim, row, self._clock.now())
-            if isinstance(judged, Judgement):
-                self._set_claim_result(item, judged)
+            resolved = resolve_claim(item.claim, row, self._clock.now())
+            if isinstance(resolved, ClaimResult):
+                self._set_claim_result(item, resolved)
                 return
-            item.claim = judged
+            item.claim = resolved
         else:
-            amended = settle_write(item.claim, row)
+            amended = rebase_final_write(item.claim, row)
             if amended is None:
                 self._set_end_result(item, _has_state(item.claim, row))
                 return
@@ -269,12 +269,12 @@
         item.needs_own_transaction = False
         self._requeue([item])
 
-    def _set_claim_result(self, item: QueuedWrite, judged: Judgement) -> None:
+    def _set_claim_result(self, item: QueuedWrite, resolved: ClaimResult) -> None:
         if not item.abandoned:
             if not item.result.done():
-                item.result.set_result(judged)
-        elif judged.verdict is Verdict.RUN:
-            self._release(judged.claim)
+                item.result.set_result(resolved)
+        elif resolved.decision is ClaimDecision.RUN:
+            self._release(resolved.claim)
 
     def _set_end_result(self, item: QueuedWrite, has_state: bool) -> None:
         if not item.result.done():
--- a/packages/mustardquay-node/src/mustardquay_node/configuration_loaders.py
+++ b/packages/mustardquay-node/src/mustardquay_node/configuration_loaders.py
@@ -8,7 +8,7 @@
 from mustardquay.errors import ProtocolError
 from mustardquay.events import EventRing
 from mustardquay.routing_tables import RoutingTable
-from mustardquay.version_books import TableState, VersionBook
+from mustardquay.version_trackers import TableState, VersionTracker
 
 from .adapters import Adapter, StoreRow
 
@@ -39,7 +39,7 @@
         self._activate = activate
         self._list_peer_versions = list_peer_versions
         self._get_bound = get_bound
-        self._versions = VersionBook()
+        self._versions = VersionTracker()
 
     @property
     def version(self) -> int:
@@ -62,11 +62,11 @@
             return TableState.CURRENT
         others = self._list_peer_versions()
         now = self._clock.monotonic()
-        return self._versions.judge(others, self._get_bound(), now)
+        return self._versions.find_state(others, self._get_bound(), now)
 
     def note_peer_version(self, gateway: str, version: int) -> bool:
         """Note the version of another gateway and return whether it is newer."""
-        if self._versions.hear(version, self._clock.monotonic()):
+        if self._versions.note_version(version, self._clock.monotonic()):
             self._events.record(
                 "configuration.behind",
                 version=self.version,
@@ -106,7 +106,7 @@
             return
         lag = self.lag
         self._activate(table)
-        self._versions.put(table.version)
+        self._versions.set_in_force(table.version)
         self._events.record(
             "configuration.in_force",
             version=table.version,
--- a/packages/mustardquay-node/src/mustardquay_node/forwarder_dependencies.py
+++ b/packages/mustardquay-node/src/mustardquay_node/forwarder_dependencies.py
@@ -8,13 +8,13 @@
 from mustardquay.clocks import Clock
 from mustardquay.events import EventRing
 from mustardquay.latency_margins import LatencyMargins
-from mustardquay.rate_limits import LimitBook
+from mustardquay.rate_limits import RateLimiter
+from mustardquay.retry_decisions import SendHistory
 from mustardquay.route_times import RouteTimes
 from mustardquay.routing_tables import Route
-from mustardquay.sendings import Sendings
 from mustardquay.upstream_lists import UpstreamList
 from mustardquay.upstream_loads import UpstreamLoads
-from mustardquay.version_books import TableState
+from mustardquay.version_trackers import TableState
 
 from .adapters import Adapter, RequestFacts
 from .caller_connections import CallerRequest
@@ -39,7 +39,7 @@
     upstreams: UpstreamList
     pools: UpstreamPools
     loads: UpstreamLoads
-    limits: LimitBook
+    limits: RateLimiter
     crashes: CrashReporter
     planner: GenerationPlanner
     stop: GatewayStop
@@ -68,7 +68,7 @@
     fingerprint: int
     begin_by: timedelta | None = None
     """Deadline of the first part of the answer; None for `deadline`."""
-    send_history: Sendings = field(default_factory=Sendings)
+    send_history: SendHistory = field(default_factory=SendHistory)
     avoid: set[str] = field(default_factory=set)
     """Upstreams that this request was already sent to."""
     current: Exchange | None = None
--- a/packages/mustardquay-node/src/mustardquay_node/gateway_stops.py
+++ b/packages/mustardquay-node/src/mustardquay_node/gateway_stops.py
@@ -17,8 +17,8 @@
 )
 from mustardquay.peer_digests import PeerDigest
 from mustardquay.stops import (
-    Demand,
-    StopPlace,
+    RequestEstimate,
+    StopContext,
     StopState,
     StopTimes,
     admit_request,
@@ -86,7 +86,7 @@
         """Process another gateway's digest."""
         self._fleet.apply_digest(digest, self._deps.clock.monotonic())
 
-    def admit(self, demand: Demand) -> timedelta | None:
+    def admit(self, demand: RequestEstimate) -> timedelta | None:
         """Return by when an admitted request must begin its answer; None if refused."""
         assert self._times is not None
         now = self._deps.clock.monotonic()
@@ -113,7 +113,7 @@
         self._deps.notify_peers()
         while (state := self._find_state()) is not StopState.CLOSED:
             self._enter(state)
-            if state is StopState.LAST_CALLS:
+            if state is StopState.DRAINING:
                 # Callers on idle connections reconnect to gateways that are ready. It
                 # costs them no attempt, as no request was read from them.
                 self._deps.close_idle()
@@ -133,8 +133,8 @@
         place = self._find_place(self._fleet.list_members(now))
         return find_state(self._times, now, self._count_in_flight(), place)
 
-    def _find_place(self, members: list[Member]) -> StopPlace:
-        return StopPlace(
+    def _find_place(self, members: list[Member]) -> StopContext:
+        return StopContext(
             is_still_routed(self._deps.availability_zone, members),
             may_stop_early(self._deps.name, members),
         )
--- a/packages/mustardquay/src/mustardquay/placements.py
+++ b/packages/mustardquay/src/mustardquay/placements.py
@@ -354,10 +354,10 @@
     work = query.sum_work(reader)
     running = states.works.sum_running(decoder.id)
     first = states.models.expect_first(decoder.service, running)
-    reader_limit_wait = states.limits.expect_wait(reader, query.now)
+    reader_limit_wait = states.limits.predict_wait(reader, query.now)
     decoder_limit_wait = 0.0
     if prefiller is not None:
-        decoder_limit_wait = states.limits.expect_wait(decoder, query.now)
+        decoder_limit_wait = states.limits.predict_wait(decoder, query.now)
     cost = (
         max(work, reader_limit_wait) + planned.seconds + planned.eviction_cost + first
     )
@@ -385,7 +385,7 @@
 ) -> float:
     running = states.works.sum_running(engine.id)
     wait = states.works.sum_seconds(engine.id)
-    wait = max(wait, states.limits.expect_wait(engine, now))
+    wait = max(wait, states.limits.predict_wait(engine, now))
     first = states.models.expect_first(engine.service, running)
     return wait + first + _failure_cost(engine, states, now)
 
--- a/packages/mustardquay/tests/test_claims.py
+++ b/packages/mustardquay/tests/test_claims.py
@@ -1,4 +1,4 @@
-"""Claim rows judged one by one, where the stateful tests can't reach."""
+"""Cases of single claim rows that the stateful tests don't cover."""
 
 from dataclasses import replace
 from datetime import UTC, datetime, timedelta
@@ -9,16 +9,16 @@
     CLAIMS,
     CLOCK_SKEW,
     Claim,
+    ClaimDecision,
     ClaimKey,
     ClaimState,
     ClaimWrite,
     RecordedAnswer,
-    Verdict,
     decode_claim,
     encode_claim,
-    judge_claim,
     plan_expiry,
-    settle_write,
+    rebase_final_write,
+    resolve_claim,
     split_conflict,
 )
 from mustardquay.errors import DocumentError
@@ -71,31 +71,35 @@
 @pytest.mark.parametrize("state", [ClaimState.ANSWERED, ClaimState.NOT_RUN])
 @pytest.mark.parametrize("wanted", list(ClaimState))
 def test_an_answered_or_released_claim_is_final(state, wanted):
-    """A booking was answered, then a late release frees its key and it runs again."""
+    """Guards against a second booking: a late release would free the key of an answered
+    one.
+    """
     row = make_row(make_claim(state=state, revision=2))
-    assert settle_write(make_claim(state=wanted), row) is None
+    assert rebase_final_write(make_claim(state=wanted), row) is None
 
 
 @pytest.mark.parametrize("skew", [-CLOCK_SKEW / 2, CLOCK_SKEW / 2])
 def test_an_entry_whose_clock_is_ahead_does_not_take_over_early(skew):
-    """A caller is promised a day, an entry with a fast clock ends it sooner."""
+    """Guards against a shortened lifetime of a key: a claim is kept for a day, and an
+    entry whose clock is ahead must not treat it as expired sooner.
+    """
     held = make_claim(state=ClaimState.ANSWERED, answer=RecordedAnswer(200))
     wanted = make_claim(id="other", revision=0)
-    judged = judge_claim(wanted, make_row(held), held.expires + skew)
-    assert judged.verdict is Verdict.REPLAY
-    later = judge_claim(wanted, make_row(held), held.expires + CLOCK_SKEW)
+    result = resolve_claim(wanted, make_row(held), held.expires + skew)
+    assert result.decision is ClaimDecision.REPLAY
+    later = resolve_claim(wanted, make_row(held), held.expires + CLOCK_SKEW)
     assert later == replace(wanted, revision=held.revision)
 
 
 def test_a_claim_whose_holder_died_is_unknown_at_once_after_its_deadline():
     held = make_claim()
     wanted = make_claim(id="other", revision=0)
-    judged = judge_claim(wanted, make_row(held), held.finish_by + CLOCK_SKEW)
-    assert judged.verdict is Verdict.UNKNOWN
+    result = resolve_claim(wanted, make_row(held), held.finish_by + CLOCK_SKEW)
+    assert result.decision is ClaimDecision.UNKNOWN
 
 
 def test_writes_that_an_absent_row_may_have_failed_are_tried_alone():
-    """One of three rows was swept; which one, the conflict does not say."""
+    """One of three rows was deleted, and the conflict doesn't contain its key."""
     writes = [
         ClaimWrite(make_claim("new", revision=0)),
         ClaimWrite(make_claim("met")),
@@ -103,10 +107,10 @@
         ClaimWrite(make_claim("fine")),
     ]
     row = make_row(make_claim("met", revision=2))
-    met, doubtful, others = split_conflict(writes, [row, None])
-    assert met == [(writes[1], row)]
-    assert doubtful == writes[2:]
-    assert others == writes[:1]
+    existing, ambiguous, retried = split_conflict(writes, [row, None])
+    assert existing == [(writes[1], row)]
+    assert ambiguous == writes[2:]
+    assert retried == writes[:1]
 
 
 def test_only_rows_that_every_entry_takes_for_expired_are_deleted():
--- a/packages/mustardquay/tests/test_quarantines.py
+++ b/packages/mustardquay/tests/test_quarantines.py
@@ -1,4 +1,4 @@
-"""Stateful tests of quarantines over several processes, retries and tombstones."""
+"""Stateful tests of the quarantine in several processes; retries and tombstones."""
 
 from collections import Counter
 from datetime import timedelta
@@ -9,8 +9,8 @@
 
 from mustardquay.quarantines import (
     CrashId,
+    FingerprintStatus,
     Quarantine,
-    Standing,
     SuspectGate,
     choose_suspect_upstream,
 )
@@ -19,12 +19,12 @@
 
 UPSTREAMS = ("u1", "u2", "u3", "u4", "u5", "u6")
 ENTRIES = ("e1", "e2", "e3")
-POISON = 666
+CRASHING = 666
 STEADY = settings(derandomize=True, deadline=None, database=None, max_examples=150)
 
 
 class Fleet(RuleBasedStateMachine):
-    """Entries and agents that hear of crashes over links, at any later time."""
+    """Entries and agents that exchange crash records over links with any delay."""
 
     def __init__(self):
         super().__init__()
@@ -39,33 +39,33 @@
     @rule(
         entry=st.sampled_from(ENTRIES),
         upstream=st.sampled_from(UPSTREAMS),
-        fingerprint=st.sampled_from([POISON, 1, 2, 3]),
+        fingerprint=st.sampled_from([CRASHING, 1, 2, 3]),
     )
     def call(self, entry, upstream, fingerprint):
         known = self.quarantines[entry]
-        standing = known.judge(fingerprint, self.now)
-        if standing is Standing.REFUSED:
+        status = known.find_status(fingerprint, self.now)
+        if status is FingerprintStatus.REFUSED:
             return
-        if standing is Standing.SUSPECT:
+        if status is FingerprintStatus.SUSPECT:
             crashed = known.list_crashed(fingerprint)
             upstream = choose_suspect_upstream(fingerprint, UPSTREAMS, crashed)
         self._arrive(upstream, fingerprint)
 
     def _arrive(self, upstream, fingerprint):
-        standing = self.quarantines[upstream].judge(fingerprint, self.now)
-        if standing is Standing.REFUSED:
+        status = self.quarantines[upstream].find_status(fingerprint, self.now)
+        if status is FingerprintStatus.REFUSED:
             return
         self.sent += 1
         key = (f"r{self.sent}", 1)
-        if standing is Standing.SUSPECT and not self.gates[upstream].admit(key):
+        if status is FingerprintStatus.SUSPECT and not self.gates[upstream].admit(key):
             return
         self.running[upstream][key] = fingerprint
 
     @rule(upstream=st.sampled_from(UPSTREAMS))
     def engine_goes_on(self, upstream):
-        """Crash if the poison runs here, else answer all."""
+        """Crash if the crashing request runs here, else answer all requests."""
         running = self.running[upstream]
-        if POISON in running.values():
+        if CRASHING in running.values():
             self.boots[upstream] += 1
             crash = CrashId(upstream, f"b{self.boots[upstream]}")
             fingerprints = set(running.values())
@@ -92,25 +92,28 @@
                 for upstream in UPSTREAMS:
                     self._send(upstream, entry)
                     self._send(entry, upstream)
-        standings = {
-            tuple(known.judge(name, self.now) for name in (POISON, 1, 2, 3))
+        statuses = {
+            tuple(known.find_status(name, self.now) for name in (CRASHING, 1, 2, 3))
             for known in self.quarantines.values()
         }
-        assert len(standings) == 1, "the records did not converge"
+        assert len(statuses) == 1, "the records did not converge"
         self._check_that_a_suspect_has_one_upstream()
 
     def _check_that_a_suspect_has_one_upstream(self):
-        if self.quarantines["e1"].judge(POISON, self.now) is not Standing.SUSPECT:
+        if (
+            self.quarantines["e1"].find_status(CRASHING, self.now)
+            is not FingerprintStatus.SUSPECT
+        ):
             return
-        before = [POISON in running.values() for running in self.running.values()]
+        before = [CRASHING in running.values() for running in self.running.values()]
         if any(before):
             return
-        # Repeats through all entries at once, whichever upstream they would like.
+        # Retries through all entries at once, whichever upstream they would choose.
         for entry in ENTRIES:
             for upstream in UPSTREAMS:
-                self.call(entry, upstream, POISON)
+                self.call(entry, upstream, CRASHING)
         after = [
-            list(running.values()).count(POISON) for running in self.running.values()
+            list(running.values()).count(CRASHING) for running in self.running.values()
         ]
         assert sorted(after) in ([0] * 6, [0] * 5 + [1])
 
@@ -119,49 +122,55 @@
         self.quarantines[receiver].merge(records, self.now)
 
     @rule(fingerprint=st.sampled_from([1, 2, 3]))
-    def a_refused_one_was_seen_in_two_crashes(self, fingerprint):
+    def refused_requests_have_two_crashes(self, fingerprint):
         for known in self.quarantines.values():
-            if known.judge(fingerprint, self.now) is Standing.REFUSED:
+            if known.find_status(fingerprint, self.now) is FingerprintStatus.REFUSED:
                 assert self.in_flight_at_crashes[fingerprint] >= 2
 
     def teardown(self):
-        """In the end all learn it: the poison's second crash was its last."""
+        """Check that all records converge: refused after two crashes, then expired."""
         self.all_heartbeats_arrive()
         known = self.quarantines["e1"]
-        counted = self.in_flight_at_crashes[POISON]
+        counted = self.in_flight_at_crashes[CRASHING]
         if counted >= 2:
-            assert known.judge(POISON, self.now) is Standing.REFUSED
+            assert known.find_status(CRASHING, self.now) is FingerprintStatus.REFUSED
         elif counted == 1:
-            assert known.judge(POISON, self.now) is Standing.SUSPECT
+            assert known.find_status(CRASHING, self.now) is FingerprintStatus.SUSPECT
         for _ in range(2400):
             self.now += timedelta(seconds=1)
             if self.now.total_seconds() % 60 == 0:
                 for entry in ENTRIES:
                     self._send("u1", entry)
                     self._send(entry, "u1")
-        assert self.quarantines["u1"].judge(POISON, self.now) is Standing.CLEAR
+        assert (
+            self.quarantines["u1"].find_status(CRASHING, self.now)
+            is FingerprintStatus.CLEAR
+        )
 
 
-def test_a_poisonous_request_is_held_to_one_upstream_and_then_refused():
-    """One request crashes each engine that runs it, and its caller sends it again
-    through every entry: engines would fail one after the other. What was in flight
-    with it is innocent, and must come through."""
+def test_a_crashing_request_is_limited_to_one_upstream_and_then_refused():
+    """Guards against engines failing one after the other: a request crashes each engine
+    that runs it, and its caller retries it through every entry. Other requests that
+    were in flight at a crash must still be answered."""
     run_state_machine_as_test(
         Fleet, settings=settings(STEADY, max_examples=100, stateful_step_count=30)
     )
 
 
-def test_an_innocent_is_cleared_by_its_answer_and_the_poison_is_not():
+def test_an_answer_clears_a_suspect_but_not_a_refused_request():
     quarantine = Quarantine()
     now = timedelta()
-    quarantine.note_crash(CrashId("u1", "b1"), [POISON, 1], now)
+    quarantine.note_crash(CrashId("u1", "b1"), [CRASHING, 1], now)
     quarantine.note_answer(1, now)
-    quarantine.note_crash(CrashId("u2", "b1"), [POISON], now)
-    quarantine.note_answer(POISON, now)
-    assert quarantine.judge(1, now) is Standing.CLEAR
-    assert quarantine.judge(POISON, now) is Standing.REFUSED
-    refusal = quarantine.refuse(POISON, now)
-    assert quarantine.judge(POISON, now + refusal.retry_after) is Standing.CLEAR
+    quarantine.note_crash(CrashId("u2", "b1"), [CRASHING], now)
+    quarantine.note_answer(CRASHING, now)
+    assert quarantine.find_status(1, now) is FingerprintStatus.CLEAR
+    assert quarantine.find_status(CRASHING, now) is FingerprintStatus.REFUSED
+    refusal = quarantine.refuse(CRASHING, now)
+    assert (
+        quarantine.find_status(CRASHING, now + refusal.retry_after)
+        is FingerprintStatus.CLEAR
+    )
 
 
 @given(order=st.permutations(range(6)))
@@ -180,11 +189,11 @@
     for batch in records:
         other.merge(batch, now)
     for fingerprint in range(6):
-        expected = other.judge(fingerprint, now)
-        assert target.judge(fingerprint, now) is expected
+        expected = other.find_status(fingerprint, now)
+        assert target.find_status(fingerprint, now) is expected
 
 
-def test_changes_are_told_in_bounded_parts_until_all_are_known():
+def test_changes_are_sent_in_bounded_batches():
     quarantine, peer = Quarantine(), Quarantine()
     now = timedelta()
     quarantine.note_crash(CrashId("u1", "b1"), range(250), now)
@@ -202,8 +211,8 @@
 )
 @STEADY
 def test_retries_stay_within_the_ratio_of_first_attempts(calls):
-    """All upstreams fail and every caller's work is retried as often as may be."""
-    budget = RetryBudget(ratio=0.1, capacity=3, trickle=0.1, entry_capacity=5)
+    """All upstreams fail and all work is retried as often as the budget allows."""
+    budget = RetryBudget(ratio=0.1, capacity=3, refill_rate=0.1, entry_capacity=5)
     now, retries, first = timedelta(), 0, 0
     for customer, pause in calls:
         now += timedelta(milliseconds=pause)
@@ -220,7 +229,7 @@
     seed=st.integers(0, 100),
 )
 @STEADY
-def test_a_pause_never_passes_the_deadline(retry, remaining, seed):
+def test_a_backoff_never_exceeds_the_deadline(retry, remaining, seed):
     pause = choose_backoff(retry, remaining, Random(seed))
     assert pause is None or timedelta() <= pause < remaining
 
@@ -228,22 +237,22 @@
 @given(gaps=st.lists(st.integers(0, 100_000), max_size=40))
 @STEADY
 def test_a_tombstone_outlives_every_pause_of_its_process(gaps):
-    """An agent affirms that an attempt never ran and is paused for hours; the
-    attempt's frame lies in its socket. When it wakes, it must not run it."""
+    """Guards against running an attempt that was confirmed as never started: the agent
+    is paused for hours while the frame of the attempt is in its socket buffer."""
     tombstones = Tombstones(retention=timedelta(seconds=60))
     now = timedelta()
-    assert tombstones.bury(("r", 1), now)
+    assert tombstones.add(("r", 1), now)
     for ran, gap in enumerate(gaps):
         now += timedelta(seconds=gap)
-        assert tombstones.holds(("r", 1), now), f"forgotten after {ran} steps"
+        assert tombstones.contains(("r", 1), now), f"forgotten after {ran} steps"
 
 
-def test_an_agent_without_room_affirms_nothing_and_forgets_nothing_early():
+def test_a_full_store_adds_no_tombstone_and_drops_none_early():
     tombstones = Tombstones(retention=timedelta(seconds=60), capacity=1)
-    assert tombstones.bury(("r", 1), timedelta())
-    assert not tombstones.bury(("r", 2), timedelta())
-    assert tombstones.holds(("r", 1), timedelta())
+    assert tombstones.add(("r", 1), timedelta())
+    assert not tombstones.add(("r", 2), timedelta())
+    assert tombstones.contains(("r", 1), timedelta())
     for second in range(1, 62):
         tombstones.tick(timedelta(seconds=second))
-    assert not tombstones.holds(("r", 1), timedelta(seconds=61))
-    assert tombstones.bury(("r", 2), timedelta(seconds=61))
+    assert not tombstones.contains(("r", 1), timedelta(seconds=61))
+    assert tombstones.add(("r", 2), timedelta(seconds=61))
--- a/packages/mustardquay/tests/test_route_times.py
+++ b/packages/mustardquay/tests/test_route_times.py
@@ -1,20 +1,20 @@
-"""The longest that requests of a route have lately taken."""
+"""The longest recent times of the requests of a route."""
 
 from datetime import timedelta
 
-from mustardquay.route_times import HEADROOM, LEAST_SAMPLES, WINDOW, RouteTimes
+from mustardquay.route_times import HEADROOM, MIN_SAMPLES, WINDOW, RouteTimes
 
 SECOND = timedelta(seconds=1)
 
 
 def note_many(times, longest, now=SECOND):
-    for number in range(1, LEAST_SAMPLES + 1):
-        times.note("r", now, longest * number / LEAST_SAMPLES)
+    for number in range(1, MIN_SAMPLES + 1):
+        times.note("r", now, longest * number / MIN_SAMPLES)
 
 
-def test_a_few_answers_tell_nothing():
+def test_too_few_answers_give_no_estimate():
     times = RouteTimes()
-    for _ in range(LEAST_SAMPLES - 1):
+    for _ in range(MIN_SAMPLES - 1):
         times.note("r", SECOND, SECOND)
     assert times.find_longest("r", SECOND) is None
     assert times.find_longest("other", SECOND) is None
@@ -28,15 +28,15 @@
 
 def test_a_stream_may_become_as_long_as_its_caller_allows():
     times = RouteTimes()
-    for _ in range(LEAST_SAMPLES):
+    for _ in range(MIN_SAMPLES):
         times.note("r", SECOND, SECOND / 10, 4 * SECOND, events=80)
     longest = times.find_longest("r", SECOND)
     assert longest.first == HEADROOM * SECOND / 10
-    assert longest.expect_stream(20) == HEADROOM * 1.1 * SECOND
-    assert longest.expect_stream(160) == HEADROOM * 8.1 * SECOND
+    assert longest.predict_stream(20) == HEADROOM * 1.1 * SECOND
+    assert longest.predict_stream(160) == HEADROOM * 8.1 * SECOND
 
 
-def test_what_was_long_ago_is_forgotten():
+def test_old_answers_expire():
     times = RouteTimes()
     note_many(times, SECOND)
     note_many(times, SECOND / 4, SECOND + WINDOW)
@@ -48,7 +48,9 @@
 
 
 def test_requests_that_still_wait_count_by_their_age():
-    """Guards against a stop that takes more than it can end, by quick answers alone."""
+    """Guards against a stopping gateway that relies on fast answers only and accepts
+    requests that it can't complete.
+    """
     times = RouteTimes()
     note_many(times, SECOND / 10)
     waiting = times.begin("r", SECOND)
@@ -60,8 +62,8 @@
     assert times.find_longest("r", now).first == HEADROOM * SECOND / 10
 
 
-def test_a_slow_answer_in_sixteen_is_not_promised_away_by_fifteen_quick_ones():
-    """Guards against a request taken late in a stop on the word of a few answers."""
+def test_fifteen_fast_answers_are_too_few_for_an_estimate():
+    """Guards against accepting a request late in a stop because of too few samples."""
     times = RouteTimes()
     for number in range(15):
         times.note("r", SECOND, SECOND / 1000 * (10 + 20 * number))
--- a/packages/mustardquay/tests/test_stop_fleets.py
+++ b/packages/mustardquay/tests/test_stop_fleets.py
@@ -1,4 +1,4 @@
-"""A fleet of gateways that are stopped in any order, on a virtual clock."""
+"""Stateful test of gateways that are stopped in any order, on a virtual clock."""
 
 from dataclasses import dataclass, field
 from datetime import timedelta
@@ -14,8 +14,8 @@
 )
 from mustardquay.peer_digests import PeerDigest
 from mustardquay.stops import (
-    Demand,
-    StopPlace,
+    RequestEstimate,
+    StopContext,
     StopState,
     StopTimes,
     admit_request,
@@ -31,11 +31,11 @@
 
 @dataclass
 class Gateway:
-    """One gateway: what it knows, and when its requests end at the latest."""
+    """One gateway: its view of the fleet, and when its running requests end."""
 
     fleet: PeerAvailability = field(default_factory=PeerAvailability)
     times: StopTimes | None = None
-    back_at: timedelta | None = None
+    restarts_at: timedelta | None = None
     running: list[timedelta] = field(default_factory=list)
 
 
@@ -47,46 +47,46 @@
         self.clock = VirtualClock()
         self.gateways = {name: Gateway() for name in GATEWAYS}
         self.number = 0
-        self.heard = set(GATEWAYS)
+        self.senders = set(GATEWAYS)
 
     @rule(name=st.sampled_from(GATEWAYS))
     def stop(self, name):
         gateway = self.gateways[name]
-        if gateway.times is None and gateway.back_at is None:
+        if gateway.times is None and gateway.restarts_at is None:
             now = self.clock.monotonic()
             gateway.times = StopTimes(now, now + TIME_TO_DRAIN)
 
     @rule(name=st.sampled_from(GATEWAYS), longest=st.integers(1, 20_000))
     def request(self, name, longest):
         gateway = self.gateways[name]
-        if gateway.back_at is not None:
+        if gateway.restarts_at is not None:
             return
         now, longest = self.clock.monotonic(), timedelta(milliseconds=longest)
         state = self.find_state(name)
         if gateway.times is None:
             gateway.running.append(now + longest)
-        elif admit_request(state, gateway.times, now, Demand(longest, None)):
+        elif admit_request(state, gateway.times, now, RequestEstimate(longest, None)):
             gateway.running.append(now + longest)
             assert now + longest < gateway.times.ends_at
 
     @rule(name=st.sampled_from(GATEWAYS))
     def lose_digests(self, name):
-        self.heard ^= {name}
+        self.senders ^= {name}
 
     @rule(steps=st.integers(1, 60))
     def wait(self, steps):
         for _ in range(steps):
             self.clock.advance(STEP)
-            self.tell()
+            self.send_digests()
             for name in GATEWAYS:
-                self.look(name)
+                self.update_gateway(name)
 
-    def tell(self):
+    def send_digests(self):
         self.number += 1
         now = self.clock.monotonic()
-        for name in self.heard:
+        for name in self.senders:
             sender = self.gateways[name]
-            if sender.back_at is not None:
+            if sender.restarts_at is not None:
                 continue
             left = None if sender.times is None else sender.times.ends_at - now
             digest = PeerDigest(
@@ -102,15 +102,15 @@
                 if other != name:
                     gateway.fleet.apply_digest(digest, now)
 
-    def look(self, name):
+    def update_gateway(self, name):
         gateway, now = self.gateways[name], self.clock.monotonic()
         gateway.running = [end for end in gateway.running if end > now]
-        if gateway.back_at is not None and now >= gateway.back_at:
+        if gateway.restarts_at is not None and now >= gateway.restarts_at:
             self.gateways[name] = Gateway()
         elif gateway.times is not None and self.has_closed(name):
             before_stop = [e for e in gateway.running if e >= gateway.times.ends_at]
-            assert gateway.running == before_stop, "What was taken late is cut off."
-            gateway.back_at = now + RESTART
+            assert gateway.running == before_stop, "a late request was cut off"
+            gateway.restarts_at = now + RESTART
             gateway.times = None
             gateway.running.clear()
 
@@ -122,11 +122,11 @@
         if gateway.times is None:
             return StopState.SERVING
         members = gateway.fleet.list_members(now)
-        place = StopPlace(
+        context = StopContext(
             is_still_routed(ZONES[name], members),
             may_stop_early(name, members),
         )
-        return find_state(gateway.times, now, len(gateway.running), place)
+        return find_state(gateway.times, now, len(gateway.running), context)
 
     @invariant()
     def each_stop_ends(self):
