--- a/packages/mustardquay-cli/src/mustardquay_cli/announcements.py
+++ b/packages/mustardquay-cli/src/mustardquay_cli/announcements.py
@@ -1,4 +1,4 @@
-"""Announcements: tell what a change or release costs, then announce it."""
+"""Announcements: show the cost of a change or release, then announce it."""
 
 from dataclasses import dataclass
 from datetime import timedelta
@@ -13,10 +13,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Announcement:
-    """A change or release that an operator wants, and how to show it."""
+    """A change or release that an operator requests, and how to print it."""
 
     kind: str
-    """`change` or `release`, as the section of its file."""
+    """`change` or `release`: the section name in its file."""
     body: dict[str, Any]
     dry_run: bool
     json: bool
--- a/packages/mustardquay-cli/src/mustardquay_cli/changes.py
+++ b/packages/mustardquay-cli/src/mustardquay_cli/changes.py
@@ -28,7 +28,7 @@
     WaitTimeoutOption,
     make_client,
 )
-from .outputs import finish, print_items, print_note, run
+from .outputs import exit_with_error, print_items, print_note, run
 from .waits import limit_wait, wait_for_version
 
 __all__ = ["app"]
@@ -51,14 +51,15 @@
         Scope, typer.Option("--scope", help="What the target names.")
     ] = Scope.UPSTREAM,
     name: Annotated[
-        str, typer.Option("--name", help="Name of the change; made up if not given.")
+        str, typer.Option("--name", help="Name of the change; generated if not given.")
     ] = "",
     starts_at: Annotated[
         str | None,
         typer.Option(
             "--starts-at",
             metavar="INSTANT",
-            help="With its zone, such as 2027-01-15T02:00:00Z; at once if not given.",
+            help="Time with its zone, such as 2027-01-15T02:00:00Z; at once if not "
+            "given.",
         ),
     ] = None,
     accept_overload: Annotated[
@@ -69,7 +70,7 @@
         ),
     ] = False,
     dry_run: Annotated[
-        bool, typer.Option("--dry-run", help="Tell the cost and announce nothing.")
+        bool, typer.Option("--dry-run", help="Show the cost and announce nothing.")
     ] = False,
     admin: AdminOption = [],  # noqa: B006
     key: KeyOption = "",
@@ -81,9 +82,9 @@
     """Announce a planned change, from a FILE or from options.
 
     drain takes no new work on the target and lets running work finish; replace does
-    the same, and serves again once the instance was restarted; withdraw drains for
-    good. Nothing that runs is cut. What the change costs is told first; one that leaves
-    too little for the contracts is refused.
+    the same, and serves again once the instance was restarted; withdraw drains
+    permanently. Running work is never interrupted. The cost of the change is shown
+    first; a change that leaves too little capacity for the contracts is refused.
 
     \b
     Examples:
@@ -116,7 +117,7 @@
     timeout: TimeoutOption = 10,
     json: JSONOption = False,
 ) -> None:
-    """List the planned changes that stand.
+    """List the current planned changes.
 
     \b
     Example:
@@ -160,4 +161,4 @@
             return check_document(ChangeDocument, options, "options")
         return read_file(file, parse_change)
     except MustardquayError as error:
-        finish(error)
+        exit_with_error(error)
--- a/packages/mustardquay-cli/src/mustardquay_cli/checks.py
+++ b/packages/mustardquay-cli/src/mustardquay_cli/checks.py
@@ -36,15 +36,15 @@
         bool,
         typer.Option(
             "--each",
-            help="The first FILE is alike for all; check it with each of the others.",
+            help="The first FILE is shared; check it with each of the others.",
         ),
     ] = False,
     json: JSONOption = False,
 ) -> None:
-    """Check the settings of a process, given as to mustardquayd.
+    """Check the settings of a process, from the files that mustardquayd is given.
 
-    Every fault is named with file, section, key and remedy. Exits with 1 when there
-    is one.
+    Every fault is listed with its file, section, key and remedy. Exits with 1 if any
+    is found.
 
     \b
     Examples:
--- a/packages/mustardquay-cli/src/mustardquay_cli/clients.py
+++ b/packages/mustardquay-cli/src/mustardquay_cli/clients.py
@@ -26,9 +26,9 @@
 
 ATTEMPTS = 3
 BODY_LIMIT = 64 << 20
-SERVER = "mustardquay/"
-"""How the admin port names itself in `Server`; the port for callers does not."""
-PAUSE = timedelta(seconds=0.5)
+SERVER_PREFIX = "mustardquay/"
+"""Start of the `Server` header of admin ports; the port for callers lacks it."""
+RETRY_DELAY = timedelta(seconds=0.5)
 
 _UNREACHABLE = (errno.EHOSTUNREACH, errno.ENETUNREACH)
 
@@ -37,7 +37,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Answer:
-    """What one process answered, or why it did not."""
+    """The answer of one process, or the error that took its place."""
 
     url: str
     value: Any = None
@@ -54,7 +54,7 @@
 
 
 class AdminClient:
-    """Asks the admin ports that it was given, in their order."""
+    """Calls the configured admin ports, in the order given."""
 
     def __init__(
         self,
@@ -74,11 +74,11 @@
         self._sleep = sleep
 
     async def get(self, path: str, **query: str | int) -> Any:
-        """Return the answer of the first process that gives one."""
+        """Return the answer of the first process that is available."""
         failure = None
         for url in self._urls:
             try:
-                return await self._ask(url, "GET", _add_query(path, query))
+                return await self._send(url, "GET", _add_query(path, query))
             except MisdirectedFailure as error:
                 failure = failure or error
             except CommandError as error:
@@ -88,16 +88,16 @@
         raise failure
 
     async def get_all(self, path: str, **query: str | int) -> list[Answer]:
-        """Return the answer of every process, with errors in their place."""
+        """Return the answer or the error of every process."""
         full = _add_query(path, query)
         return await asyncio.gather(*(self._try(url, full) for url in self._urls))
 
     async def edit(self, method: str, path: str, body: Any = None) -> Any:
-        """Send an edit until its result is known.
+        """Send an edit, with retries until its result is known.
 
-        Failure: the answer to an edit is lost after it has taken effect. Sent
-        again as a new edit it would conflict with itself or be applied twice. All
-        attempts carry one change id, under which the log takes it once.
+        The answer to an edit can be lost after the edit took effect. A retry as a
+        new edit would conflict with itself or be applied twice, so all attempts
+        carry the same change id, for which the log accepts one edit only.
         """
         change_id = uuid4().hex
         urls = list(self._urls)
@@ -106,7 +106,7 @@
         while True:
             url = urls[attempts % len(urls)]
             try:
-                return await self._ask(url, method, path, body, change_id)
+                return await self._send(url, method, path, body, change_id)
             except MisdirectedFailure:
                 urls.remove(url)
                 if not urls:
@@ -120,37 +120,39 @@
             attempts += 1
             if attempts == ATTEMPTS:
                 break
-            await self._sleep(PAUSE.total_seconds())
+            await self._sleep(RETRY_DELAY.total_seconds())
         if not unclear:
             message = f"Nothing was changed. {failure}"
             raise CommandError(message, ExitCode.UNAVAILABLE)
         raise CommandError(
-            f"The edit may or may not be in force ({failure}) Show it, and send it "
-            "again if it is not.",
+            f"The edit may or may not be in force ({failure}) Check whether it is, and "
+            "send it again if not.",
             ExitCode.UNCLEAR,
         )
 
     async def _try(self, url: str, path: str) -> Answer:
         try:
-            return Answer(url, await self._ask(url, "GET", path))
+            return Answer(url, await self._send(url, "GET", path))
         except CommandError as error:
             return Answer(url, error=str(error))
 
-    async def _ask(
+    async def _send(
         self, url: str, method: str, path: str, body: Any = None, change_id: str = ""
     ) -> Any:
-        response = await self._fetch(self._build(url, method, path, body, change_id))
-        if not response.headers.get("Server", "").startswith(SERVER):
+        response = await self._fetch(
+            self._build_request(url, method, path, body, change_id)
+        )
+        if not response.headers.get("Server", "").startswith(SERVER_PREFIX):
             raise CommandError(
-                f"{url}: answered {response.code}, but is no admin port; give the URL "
-                "of one, not that of callers.",
+                f"{url}: answered {response.code}, but is not an admin port; give the "
+                "URL of an admin port, not that of the port for callers.",
             )
         value = _decode(response)
         if response.code == 200:
             return value
-        raise _explain(url, method, response.code, value)
+        raise _explain_response(url, method, response.code, value)
 
-    def _build(
+    def _build_request(
         self, url: str, method: str, path: str, body: Any, change_id: str
     ) -> HTTPRequest:
         headers = {"Authorization": f"Bearer {self._key}"} if self._key else {}
@@ -172,26 +174,26 @@
         try:
             return await client.fetch(request, raise_error=False)
         except (OSError, HTTPError, ValueError) as error:
-            raise _explain_loss(request, error) from None
+            raise _explain_transport_error(request, error) from None
         finally:
             client.close()
 
 
-def _explain_loss(request: HTTPRequest, error: Exception) -> CommandError:
-    """Return an error that says truly whether the request may have arrived.
+def _explain_transport_error(request: HTTPRequest, error: Exception) -> CommandError:
+    """Return an error whose exit code shows whether the request may have arrived.
 
-    A reset or a time-out can come after the request was taken; only these faults
-    come before anything was sent.
+    A reset or a timeout can occur after the request was received. Only the faults
+    checked here are certain to occur before anything was sent.
     """
     unsent = isinstance(error, ConnectionRefusedError | gaierror | ValueError)
     unsent = unsent or getattr(error, "errno", None) in _UNREACHABLE
     if unsent or request.method == "GET":
         return CommandError(
             f"{request.url}: can't be reached ({error}); check the URL of the admin "
-            "port and that the process runs.",
+            "port and that the process is running.",
             ExitCode.UNAVAILABLE,
         )
-    return CommandError(f"{request.url}: gave no answer ({error}).", ExitCode.UNCLEAR)
+    return CommandError(f"{request.url}: did not answer ({error}).", ExitCode.UNCLEAR)
 
 
 def _add_query(path: str, query: dict[str, str | int]) -> str:
@@ -206,8 +208,8 @@
         return {}
 
 
-def _explain(url: str, method: str, status: int, value: Any) -> CommandError:
-    """Return the error that a response other than 200 stands for."""
+def _explain_response(url: str, method: str, status: int, value: Any) -> CommandError:
+    """Return the error for a response with a status other than 200."""
     fields = value if isinstance(value, dict) else {}
     message = f"{url}: {fields.get('error') or f'answered {status}; see its log.'}"
     if status == 401:
--- a/packages/mustardquay-cli/src/mustardquay_cli/commands.py
+++ b/packages/mustardquay-cli/src/mustardquay_cli/commands.py
@@ -1,4 +1,4 @@
-"""Commands: the program `mustardquay` as a whole."""
+"""Commands: the program `mustardquay` and its command groups."""
 
 from typing import Annotated
 
@@ -12,17 +12,17 @@
 
 __all__ = ["app", "main"]
 
-_HELP = """Drive a mustardquay fleet: by contracts and planned changes.
+_HELP = """Operate a mustardquay fleet by contracts and planned changes.
 
-Limits follow from the contract of each customer; nobody steers single engines. The
-commands talk to the admin port of an entry. Name it once, with your key:
+Limits follow from the contract of each customer; engines are not controlled one by
+one. The commands call the admin port of an entry. Set its URL and your key:
 
 \b
   export MUSTARDQUAY_ADMIN=http://127.0.0.1:7421
   export MUSTARDQUAY_KEY=...
 
 \b
-A first round:
+Getting started:
   mustardquay settings check --each common.ini processes/*.ini
   mustardquay contract apply contracts/*.ini
   mustardquay status
@@ -55,7 +55,7 @@
 
 
 @app.callback(help=_HELP)
-def begin(
+def declare_options(
     version: Annotated[
         bool,
         typer.Option(
@@ -66,7 +66,7 @@
         ),
     ] = False,
 ) -> None:
-    """Take the options that stand before every command."""
+    """Declare the options that precede every command."""
 
 
 def main() -> None:
--- a/packages/mustardquay-cli/src/mustardquay_cli/applications.py
+++ b/packages/mustardquay-cli/src/mustardquay_cli/contract_edits.py
@@ -1,4 +1,4 @@
-"""Applications: put documents into force in one edit, and explain lost races."""
+"""Contract edits: apply documents in one edit, and explain conflicts."""
 
 from typing import Any
 
@@ -13,7 +13,7 @@
 async def apply_documents(
     client: AdminClient, documents: list[ContractDocument]
 ) -> dict[str, Any]:
-    """Apply what differs from what is in force; return how each came out."""
+    """Apply the documents that differ from those in force; return each result."""
     unchanged: dict[str, dict[str, Any]] = {}
     try:
         answer = await _post(client, documents)
@@ -37,7 +37,7 @@
 
 
 async def _post(client: AdminClient, documents: list[ContractDocument]) -> Any:
-    # Digests are made here already; plain keys don't leave this machine.
+    # Keys are hashed here, so that plain keys don't leave this machine.
     contracts = [describe_contract(document.to_contract()) for document in documents]
     return await client.edit("POST", join_path("contracts"), {"contracts": contracts})
 
@@ -45,7 +45,7 @@
 def _find_unchanged(
     documents: list[ContractDocument], failure: ConflictFailure
 ) -> dict[str, dict[str, Any]]:
-    """Return the present contracts that say the same as their documents."""
+    """Return the current contracts that equal their documents."""
     wanted = {
         document.customer: describe_contract(document.to_contract())
         for document in documents
@@ -62,7 +62,7 @@
 
 
 def explain_conflict(failure: ConflictFailure) -> CommandError:
-    """Return the error with what is there now of each thing that was amended."""
+    """Return an error that lists the current value of each conflicting item."""
     lines = [str(failure)]
     for conflict in failure.conflicts:
         present = conflict.get("present")
--- a/packages/mustardquay-cli/src/mustardquay_cli/contracts.py
+++ b/packages/mustardquay-cli/src/mustardquay_cli/contracts.py
@@ -11,8 +11,8 @@
     parse_contract,
 )
 
-from .applications import apply_documents, explain_conflict
 from .clients import AdminClient, join_path
+from .contract_edits import apply_documents, explain_conflict
 from .failures import ConflictFailure
 from .files import read_file
 from .options import (
@@ -59,12 +59,12 @@
     wait_timeout: WaitTimeoutOption = 16,
     json: JSONOption = False,
 ) -> None:
-    """Put contracts into force: all of the files in one edit, or none.
+    """Apply contracts: all of the files in one edit, or none.
 
     A file without a revision makes a new contract. To amend one, write the revision
-    that `contract show` gives into the file; if another operator was faster, nothing
-    is changed and the present contract is shown. A file that says what is already in
-    force changes nothing.
+    that `contract show` prints into the file; if another operator changed the contract
+    since, nothing is changed and the current contract is shown. A file that equals the
+    contract in force changes nothing.
 
     \b
     Examples:
@@ -134,9 +134,9 @@
 ) -> None:
     """Change some fields of a contract; the others stay.
 
-    Several words are parted by spaces or commas. `keys` adds bearer keys, so that
-    callers can move to a new one; `key_hashes` sets which keys are left, as SHA-256
-    in hex.
+    Separate several words by spaces or commas. `keys` adds bearer keys, so that
+    callers can move to a new one; `key_hashes` sets the keys that remain valid, as
+    SHA-256 in hex.
 
     \b
     Examples:
@@ -162,7 +162,7 @@
 def remove(
     customer: CustomerArgument,
     revision: Annotated[
-        int, typer.Option("--revision", min=1, help="Revision that is removed.")
+        int, typer.Option("--revision", min=1, help="Revision to remove.")
     ],
     admin: AdminOption = [],  # noqa: B006
     key: KeyOption = "",
@@ -232,7 +232,7 @@
 
 
 async def _replace_keys(client: AdminClient, path: str, body: dict[str, Any]) -> None:
-    """Put digests in the place of plain keys, which don't leave this machine."""
+    """Replace plain keys by their digests, so that keys don't leave this machine."""
     present = await client.get(path)
     kept = body.get("key_hashes", present["key_hashes"])
     body["key_hashes"] = [*kept, *hash_keys(body.pop("keys"), "arguments")]
@@ -245,7 +245,7 @@
     for change in changes:
         name, equals, value = change.partition("=")
         if not equals:
-            raise typer.BadParameter(f"{change} lacks a =; write FIELD=VALUE.")
+            raise typer.BadParameter(f"{change} has no =; write FIELD=VALUE.")
         if name.startswith("lateness."):
             body.setdefault("lateness", {})[name.removeprefix("lateness.")] = value
         elif name in _LISTS:
--- a/packages/mustardquay-cli/src/mustardquay_cli/failures.py
+++ b/packages/mustardquay-cli/src/mustardquay_cli/failures.py
@@ -1,4 +1,4 @@
-"""Failures: how a command ends when it could not do what it was asked."""
+"""Failures: exit codes of commands, and the errors that carry them."""
 
 from collections.abc import Mapping, Sequence
 from enum import IntEnum
@@ -10,7 +10,7 @@
 
 
 class ExitCode(IntEnum):
-    """Exit codes of the command, the same for every group."""
+    """Exit codes, the same for every command."""
 
     DONE = 0
     REFUSED = 1
@@ -26,7 +26,7 @@
 
 
 class CommandError(MustardquayError):
-    """A command failed; the message names the remedy."""
+    """A command failed; the message states the remedy."""
 
     def __init__(self, message: str, code: ExitCode = ExitCode.REFUSED):
         super().__init__(message)
@@ -34,7 +34,7 @@
 
 
 class ConflictFailure(CommandError):
-    """Another edit came first; `conflicts` shows what is there now."""
+    """Another edit came first; `conflicts` holds the current values."""
 
     def __init__(self, message: str, conflicts: Sequence[Mapping[str, Any]]):
         super().__init__(message, ExitCode.CONFLICT)
@@ -42,4 +42,4 @@
 
 
 class MisdirectedFailure(CommandError):
-    """The process that was asked is no entry; another may be."""
+    """The process that was called is not an entry; try the next one."""
--- a/packages/mustardquay-cli/src/mustardquay_cli/files.py
+++ b/packages/mustardquay-cli/src/mustardquay_cli/files.py
@@ -1,4 +1,4 @@
-"""Files: documents that operators name on the command line."""
+"""Files: documents whose paths are given on the command line."""
 
 from collections.abc import Callable
 from pathlib import Path
@@ -12,9 +12,9 @@
 
 
 def read_file(file: Path, read: Callable[[str, str], Document]) -> Document:
-    """Return the document that `read` makes of the text and name of a file.
+    """Return the document that `read` parses from the text and name of a file.
 
-    Raises `DocumentError` when it can't be read or is not valid.
+    Raises `DocumentError` when the file can't be read or is not valid.
     """
     try:
         text = file.read_text(encoding="utf-8")
--- a/packages/mustardquay-cli/src/mustardquay_cli/outputs.py
+++ b/packages/mustardquay-cli/src/mustardquay_cli/outputs.py
@@ -1,4 +1,4 @@
-"""Outputs: tables, JSON and INI on standard output; the rest on standard error."""
+"""Outputs: tables, JSON and INI on standard output; messages on standard error."""
 
 import asyncio
 import sys
@@ -16,7 +16,7 @@
 from .failures import CommandError, ExitCode
 
 __all__ = [
-    "finish",
+    "exit_with_error",
     "print_document",
     "print_ini",
     "print_items",
@@ -27,21 +27,21 @@
 ]
 
 PLAIN_WIDTH = 200
-"""Columns where the output is no terminal, so that nothing is wrapped."""
+"""Columns when the output is not a terminal, so that nothing is wrapped."""
 
 Result = TypeVar("Result")
 
 
 def run(work: Coroutine[Any, Any, Result]) -> Result:
-    """Run a command's work; end the program with the right code if it fails."""
+    """Run a command's work; exit with the code of its error if it fails."""
     try:
         return asyncio.run(work)
     except MustardquayError as error:
-        finish(error)
+        exit_with_error(error)
 
 
-def finish(error: MustardquayError) -> None:
-    """Print an error and end the program with its exit code."""
+def exit_with_error(error: MustardquayError) -> None:
+    """Print an error and exit with its code."""
     typer.echo(f"error: {error}", err=True)
     code = error.code if isinstance(error, CommandError) else ExitCode.REFUSED
     raise typer.Exit(code) from None
@@ -53,12 +53,12 @@
 
 
 def print_note(text: str) -> None:
-    """Print a sentence for people, apart from the result."""
+    """Print a message on standard error, apart from the result."""
     typer.echo(text, err=True)
 
 
 def print_table(heads: Sequence[str], rows: Iterable[Sequence[Any]]) -> None:
-    """Print rows under their heads."""
+    """Print rows as a table with column heads."""
     table = Table(box=SIMPLE_HEAD, pad_edge=False, show_edge=False)
     for head in heads:
         table.add_column(head, overflow="fold")
--- a/packages/mustardquay-cli/src/mustardquay_cli/references.py
+++ b/packages/mustardquay-cli/src/mustardquay_cli/references.py
@@ -1,6 +1,6 @@
-"""References: the page of all settings, made from the table of keys.
+"""References: the page of all settings, generated from the table of keys.
 
-Run `python -m mustardquay_cli.references docs/settings.md` to write it anew.
+Run `python -m mustardquay_cli.references docs/settings.md` to regenerate it.
 """
 
 import sys
--- a/packages/mustardquay-cli/src/mustardquay_cli/releases.py
+++ b/packages/mustardquay-cli/src/mustardquay_cli/releases.py
@@ -21,7 +21,7 @@
     WaitTimeoutOption,
     make_client,
 )
-from .outputs import finish, print_document, print_items, print_note, run
+from .outputs import exit_with_error, print_document, print_items, print_note, run
 from .waits import limit_wait, wait_for_version
 
 __all__ = ["app"]
@@ -39,7 +39,7 @@
 def announce(
     file: Annotated[Path, typer.Argument(metavar="FILE")],
     dry_run: Annotated[
-        bool, typer.Option("--dry-run", help="Check it and announce nothing.")
+        bool, typer.Option("--dry-run", help="Check the release; announce nothing.")
     ] = False,
     admin: AdminOption = [],  # noqa: B006
     key: KeyOption = "",
@@ -50,8 +50,8 @@
 ) -> None:
     """Announce a release of a model from a FILE; engines change over one by one.
 
-    A file without a revision makes a new release. To change one, for example to the
-    version before, write the revision that `release show` gives into the file.
+    A file without a revision makes a new release. To change one, for example to roll
+    back, write the revision that `release show` prints into the file.
 
     \b
     Examples:
@@ -62,7 +62,7 @@
     try:
         document = read_file(file, parse_release)
     except MustardquayError as error:
-        finish(error)
+        exit_with_error(error)
     body = describe_release(document.to_release())
     announcement = Announcement("release", body, dry_run, json)
     client = make_client(admin, key, timeout)
@@ -95,7 +95,7 @@
     timeout: TimeoutOption = 10,
     json: JSONOption = False,
 ) -> None:
-    """List the releases that stand.
+    """List the current releases.
 
     \b
     Example:
@@ -112,7 +112,7 @@
 def remove(
     model: ModelArgument,
     revision: Annotated[
-        int, typer.Option("--revision", min=1, help="Revision that is removed.")
+        int, typer.Option("--revision", min=1, help="Revision to remove.")
     ],
     admin: AdminOption = [],  # noqa: B006
     key: KeyOption = "",
--- a/packages/mustardquay-cli/src/mustardquay_cli/statuses.py
+++ b/packages/mustardquay-cli/src/mustardquay_cli/statuses.py
@@ -43,10 +43,10 @@
 ) -> None:
     """Show processes and the upstreams that they see.
 
-    Each --admin is asked; one that does not answer is named, and the command then
-    exits with 4. An upstream is shown by the freshest view of it; age is the time in
+    Every --admin is called; one that does not answer is reported, and the command then
+    exits with 4. An upstream is shown by the newest view of it; age is the time in
     seconds since its last load report, "seen by" the number of entries that see it.
-    --json has the view of each.
+    --json has the view of each entry.
 
     \b
     Examples:
@@ -91,9 +91,10 @@
 
 
 def merge_upstreams(found: list[dict[str, Any]]) -> list[dict[str, Any]]:
-    """Return one row for each upstream, by the freshest of the views of it.
+    """Return one row for each upstream, from the newest view of it.
 
-    Where entries see it in different states, each state is given with their number.
+    Where entries see it in different states, each state is given with the number of
+    entries that see it so.
     """
     views: dict[str, list[dict[str, Any]]] = {}
     for item in found:
--- a/packages/mustardquay-cli/src/mustardquay_cli/texts.py
+++ b/packages/mustardquay-cli/src/mustardquay_cli/texts.py
@@ -1,4 +1,4 @@
-"""Texts: an event of the time line as one line of text."""
+"""Texts: an event of the timeline as one line of text."""
 
 from collections.abc import Mapping
 from datetime import UTC, datetime, timedelta
@@ -12,7 +12,7 @@
 
 
 def render_stamp(stamp: Stamp) -> str:
-    """Return the time of day in UTC, with the logical part where it counts.
+    """Return the time of day in UTC, with the logical part unless it is 0.
 
     >>> render_stamp(Stamp(1_000_000, 2))
     '00:00:01.000000+2'
@@ -26,7 +26,7 @@
 
 
 def render_event(event: Event) -> str:
-    """Return time, process, kind and what the event is about."""
+    """Return time, process, kind, subject and details of an event."""
     about = [
         f"{name}={value}"
         for name, value in (
@@ -38,14 +38,16 @@
     ]
     head = f"{render_stamp(event.stamp):<18} {event.process:<20} {event.kind:<24}"
     parts = [head, *about, render_details(event.details)]
-    return _clean(" ".join(parts)).rstrip()
+    return _replace_unprintable(" ".join(parts)).rstrip()
 
 
 def render_details(details: Mapping[str, Any]) -> str:
-    """Return the details as words."""
-    return _clean(" ".join(f"{name}={value}" for name, value in details.items()))
+    """Return the details as `name=value` words."""
+    return _replace_unprintable(
+        " ".join(f"{name}={value}" for name, value in details.items())
+    )
 
 
-def _clean(text: str) -> str:
-    """Return the text without characters that could steer a terminal."""
+def _replace_unprintable(text: str) -> str:
+    """Return the text with control characters of terminals replaced."""
     return "".join(char if char.isprintable() else "?" for char in text)
--- a/packages/mustardquay-cli/src/mustardquay_cli/pictures.py
+++ b/packages/mustardquay-cli/src/mustardquay_cli/timeline_diagrams.py
@@ -1,7 +1,7 @@
-"""Pictures: the time line as SVG or as a page, with a lane for each process.
+"""Timeline diagrams: events as SVG or as an HTML page, with a lane for each process.
 
-Time runs down, one row for each event, so that labels never collide. A line joins
-the successive events of one request where it passes from one process to another.
+Time runs downwards, one row for each event, so that labels never overlap. A line
+joins successive events of one request that are in different processes.
 """
 
 from collections.abc import Iterator, Sequence
@@ -14,15 +14,15 @@
 
 __all__ = ["render_html", "render_svg"]
 
-ROW = 18
-LANE = 170
-LEFT = 140
-TOP = 40
-RIGHT = 420
+ROW_HEIGHT = 18
+LANE_WIDTH = 170
+LEFT_MARGIN = 140
+TOP_MARGIN = 40
+RIGHT_MARGIN = 420
 RADIUS = 5
 LABEL_LENGTH = 80
 REQUEST_LENGTH = 8
-"""Characters of a request's id in a label; the whole is in the title."""
+"""Characters of a request's id in a label; the title has the whole id."""
 
 _COLOURS = ("#1b6ca8", "#c7522a", "#2e7d32", "#6a3d9a", "#8d6e00", "#00838f", "#ad1457")
 
@@ -31,11 +31,11 @@
 <html lang="en">
 <head>
 <meta charset="utf-8">
-<title>mustardquay time line</title>
+<title>mustardquay timeline</title>
 <style>body {{ margin: 1em; font-family: sans-serif; }}</style>
 </head>
 <body>
-<h1>mustardquay time line</h1>
+<h1>mustardquay timeline</h1>
 <p>{count} events of {lanes} processes, times in UTC. Point at an event to see all
 of it.</p>
 {svg}</body>
@@ -44,16 +44,16 @@
 
 
 def render_html(events: Sequence[Event]) -> str:
-    """Return a page that needs nothing else."""
+    """Return a self-contained HTML page."""
     lanes = len(_list_lanes(events))
     return _PAGE.format(count=len(events), lanes=lanes, svg=render_svg(events))
 
 
 def render_svg(events: Sequence[Event]) -> str:
-    """Return the picture; the events must be in order."""
+    """Return the diagram as SVG; the events must be in order."""
     lanes = _list_lanes(events)
-    width = LEFT + LANE * len(lanes) + RIGHT
-    height = TOP + ROW * (len(events) + 1)
+    width = LEFT_MARGIN + LANE_WIDTH * len(lanes) + RIGHT_MARGIN
+    height = TOP_MARGIN + ROW_HEIGHT * (len(events) + 1)
     root = Element(
         "svg",
         {
@@ -66,30 +66,30 @@
         },
     )
     for process, number in lanes.items():
-        _draw_lane(root, process, _place_lane(number), height)
-    for first, second in _list_passages(events):
-        _draw_passage(root, events, lanes, first, second)
+        _draw_lane(root, process, _find_lane_x(number), height)
+    for first, second in _list_transitions(events):
+        _draw_transition(root, events, lanes, first, second)
     colours = _assign_colours(events)
     for row, event in enumerate(events):
-        _draw_event(root, event, row, _place_lane(lanes[event.process]), colours)
+        _draw_event(root, event, row, _find_lane_x(lanes[event.process]), colours)
     indent(root)
     return tostring(root, encoding="unicode") + "\n"
 
 
 def _list_lanes(events: Sequence[Event]) -> dict[str, int]:
-    """Return the place of each process, in the order in which they come up."""
+    """Return the lane number of each process, in order of first appearance."""
     names = dict.fromkeys(event.process for event in events)
     return {name: number for number, name in enumerate(names)}
 
 
 def _assign_colours(events: Sequence[Event]) -> dict[str, str]:
-    """Return a colour for each head of a kind, the same for the same set."""
+    """Return a colour for each first part of a kind, the same for the same set."""
     heads = sorted({event.kind.partition(".")[0] for event in events})
     return {head: _COLOURS[n % len(_COLOURS)] for n, head in enumerate(heads)}
 
 
-def _list_passages(events: Sequence[Event]) -> Iterator[tuple[int, int]]:
-    """Yield rows of successive events of a request in different processes."""
+def _list_transitions(events: Sequence[Event]) -> Iterator[tuple[int, int]]:
+    """Yield the rows of successive events of a request in different processes."""
     rows: dict[str, list[int]] = {}
     for row, event in enumerate(events):
         if event.request:
@@ -100,23 +100,23 @@
                 yield first, second
 
 
-def _place_lane(number: int) -> int:
-    return LEFT + LANE * number + RADIUS
+def _find_lane_x(number: int) -> int:
+    return LEFT_MARGIN + LANE_WIDTH * number + RADIUS
 
 
-def _place_row(row: int) -> int:
-    return TOP + ROW * row + ROW // 2
+def _find_row_y(row: int) -> int:
+    return TOP_MARGIN + ROW_HEIGHT * row + ROW_HEIGHT // 2
 
 
 def _draw_lane(root: Element, process: str, x: int, height: int) -> None:
-    place = {"x1": str(x), "x2": str(x), "y1": str(TOP - 10), "y2": str(height)}
+    place = {"x1": str(x), "x2": str(x), "y1": str(TOP_MARGIN - 10), "y2": str(height)}
     SubElement(root, "line", place | {"stroke": "#cccccc"})
     style = {"font-weight": "bold", "text-anchor": "start"}
-    label = SubElement(root, "text", {"x": str(x), "y": str(TOP - 16)} | style)
-    label.text = _clean(process)
+    label = SubElement(root, "text", {"x": str(x), "y": str(TOP_MARGIN - 16)} | style)
+    label.text = _replace_unprintable(process)
 
 
-def _draw_passage(
+def _draw_transition(
     root: Element,
     events: Sequence[Event],
     lanes: dict[str, int],
@@ -124,10 +124,10 @@
     second: int,
 ) -> None:
     line = {
-        "x1": str(_place_lane(lanes[events[first].process])),
-        "y1": str(_place_row(first)),
-        "x2": str(_place_lane(lanes[events[second].process])),
-        "y2": str(_place_row(second)),
+        "x1": str(_find_lane_x(lanes[events[first].process])),
+        "y1": str(_find_row_y(first)),
+        "x2": str(_find_lane_x(lanes[events[second].process])),
+        "y2": str(_find_row_y(second)),
         "stroke": "#999999",
         "stroke-dasharray": "3 2",
     }
@@ -137,9 +137,9 @@
 def _draw_event(
     root: Element, event: Event, row: int, x: int, colours: dict[str, str]
 ) -> None:
-    y = _place_row(row)
+    y = _find_row_y(row)
     group = SubElement(root, "g")
-    SubElement(group, "title").text = _clean(render_event(event))
+    SubElement(group, "title").text = _replace_unprintable(render_event(event))
     colour = colours[event.kind.partition(".")[0]]
     dot = {"cx": str(x), "cy": str(y), "r": str(RADIUS), "fill": colour}
     SubElement(group, "circle", dot)
@@ -147,7 +147,7 @@
     time = SubElement(group, "text", {"x": "4", "y": baseline, "fill": "#555555"})
     time.text = render_stamp(event.stamp)
     label = SubElement(group, "text", {"x": str(x + 10), "y": baseline})
-    label.text = _clean(_label_event(event))
+    label.text = _replace_unprintable(_label_event(event))
 
 
 def _label_event(event: Event) -> str:
@@ -157,6 +157,6 @@
     return text if len(text) <= LABEL_LENGTH else text[: LABEL_LENGTH - 1] + "…"
 
 
-def _clean(text: str) -> str:
-    """Return the text without characters that XML can't hold."""
+def _replace_unprintable(text: str) -> str:
+    """Return the text with characters that XML doesn't allow replaced."""
     return "".join(char if char.isprintable() else "?" for char in text)
--- a/packages/mustardquay-cli/src/mustardquay_cli/timelines.py
+++ b/packages/mustardquay-cli/src/mustardquay_cli/timelines.py
@@ -1,4 +1,4 @@
-"""Timelines: `mustardquay timeline`, one ordered view over all processes."""
+"""Timelines: `mustardquay timeline`, the events of all processes in one order."""
 
 from collections.abc import Iterable, Iterator
 from pathlib import Path
@@ -15,9 +15,9 @@
 from .clients import AdminClient, join_path
 from .failures import CommandError, ExitCode
 from .options import AdminOption, KeyOption, TimeoutOption, make_client
-from .outputs import finish, print_note, run
-from .pictures import render_html, render_svg
+from .outputs import exit_with_error, print_note, run
 from .texts import render_event
+from .timeline_diagrams import render_html, render_svg
 
 __all__ = ["merge_events", "read_log", "show_timeline"]
 
@@ -36,23 +36,23 @@
         str, typer.Option(help="Only this kind and those below: attempt, attempt.sent.")
     ] = "",
     last: Annotated[
-        int, typer.Option(min=1, help="At most so many, the newest.")
+        int, typer.Option(min=1, help="Show at most this many, the newest.")
     ] = 1000,
     json: Annotated[
-        bool, typer.Option("--json", help="Print one JSON object a line.")
+        bool, typer.Option("--json", help="Print one JSON object per line.")
     ] = False,
     svg: Annotated[
-        Path | None, typer.Option(metavar="FILE", help="Write a picture to FILE.")
+        Path | None, typer.Option(metavar="FILE", help="Write an SVG diagram to FILE.")
     ] = None,
     html: Annotated[
-        Path | None, typer.Option(metavar="FILE", help="Write a page to FILE.")
+        Path | None, typer.Option(metavar="FILE", help="Write an HTML page to FILE.")
     ] = None,
 ) -> None:
-    """Show what happened in all processes, in one order of cause and effect.
+    """Show the events of all processes in causal order.
 
-    Events come live from the processes at each --admin, and from log files at each
-    --log; one that is in both is shown once. A process that does not answer is named,
-    and the command then exits with 4 after showing the rest.
+    Events are read from the running processes at each --admin and from the log files
+    at each --log; one that is in both is shown once. A process that does not answer is
+    reported, and the command then exits with 4 after showing the rest.
 
     \b
     Examples:
@@ -73,7 +73,7 @@
             event for file in log for event in select_events(read_log(file), **filters)
         ]
     except CommandError as error:
-        finish(error)
+        exit_with_error(error)
     live, faults = [], []
     if admin or not log:
         client = make_client(admin, key, timeout)
@@ -95,9 +95,9 @@
 
 
 def read_log(file: Path) -> Iterator[Event]:
-    """Yield the events in a log file; other lines are passed over.
+    """Yield the events in a log file; other lines are skipped.
 
-    The last line may be cut, since the process may have been killed.
+    The last line may be incomplete, since the process may have been killed.
     """
     try:
         with file.open("rb") as lines:
@@ -150,8 +150,8 @@
     try:
         path.write_text(text, encoding="utf-8")
     except OSError as error:
-        finish(
+        exit_with_error(
             CommandError(
-                f"{path}: can't be written ({error.strerror}); choose another."
+                f"{path}: can't be written ({error.strerror}); choose another path."
             )
         )
--- a/packages/mustardquay-cli/src/mustardquay_cli/waits.py
+++ b/packages/mustardquay-cli/src/mustardquay_cli/waits.py
@@ -1,4 +1,4 @@
-"""Waits: until an edit is in force at every process that is known."""
+"""Waits: wait until an edit is in force at every known process."""
 
 import asyncio
 from collections.abc import Awaitable, Callable, Sequence
@@ -12,7 +12,7 @@
 
 __all__ = ["limit_wait", "wait_for_version"]
 
-PAUSE = timedelta(seconds=0.2)
+POLL_INTERVAL = timedelta(seconds=0.2)
 
 
 async def wait_for_version(
@@ -22,7 +22,7 @@
     clock: Clock | None = None,
     sleep: Callable[[float], Awaitable[None]] = asyncio.sleep,
 ) -> None:
-    """Return when all processes have the version; raise after `limit`."""
+    """Return once all processes have the version; raise after `limit`."""
     clock = clock or SystemClock()
     end = clock.monotonic() + limit
     while True:
@@ -40,28 +40,28 @@
         if clock.monotonic() >= end:
             raise CommandError(
                 f"Version {version} is accepted but not yet known to be in force at "
-                f"{len(behind)} processes ({'; '.join(behind)}); look at status again.",
+                f"{len(behind)} processes ({'; '.join(behind)}); run status again.",
                 ExitCode.UNAVAILABLE,
             )
-        await sleep(PAUSE.total_seconds())
+        await sleep(POLL_INTERVAL.total_seconds())
 
 
 def _list_versions(answers: Sequence[Answer]) -> dict[str, int]:
-    """Return the version of each process that was asked or that one of them links to.
+    """Return the version of each process that was called or is linked to one that was.
 
-    A process's own word goes before what others have heard of it, and the newest of
-    these before the others, since versions never fall.
+    A process's own answer takes precedence over what its peers report of it. Among
+    peers' reports the highest version counts, since versions never decrease.
     """
-    heard: dict[str, int] = {}
+    reported: dict[str, int] = {}
     own: dict[str, int] = {}
     for answer in answers:
         if answer.value:
             own[answer.value["process"]] = answer.value["configuration"]
             for peer, version in answer.value.get("peers", {}).items():
-                heard[peer] = max(version, heard.get(peer, 0))
-    return heard | own
+                reported[peer] = max(version, reported.get(peer, 0))
+    return reported | own
 
 
 def limit_wait(wait: bool, seconds: float) -> timedelta | None:
-    """Return the longest wait that the options ask for, None for no wait."""
+    """Return the timeout of the wait that the options ask for, None for no wait."""
     return timedelta(seconds=seconds) if wait else None
--- a/packages/mustardquay-cli/tests/conftest.py
+++ b/packages/mustardquay-cli/tests/conftest.py
@@ -1,4 +1,4 @@
-"""A small admin port in a thread, over actions that are kept in memory."""
+"""The admin ports of an entry and an agent in a thread, with an in-memory log."""
 
 import asyncio
 from dataclasses import dataclass, field
@@ -20,12 +20,12 @@
 
 @dataclass
 class MemoryActions:
-    """A configuration log in memory that takes each change id once."""
+    """A configuration log in memory that applies each change id once."""
 
     configuration: Configuration = field(default_factory=Configuration)
     versions: dict[str, int] = field(default_factory=dict)
     faults: list[Exception] = field(default_factory=list)
-    """Raised by the next edits, after they were applied."""
+    """Errors that the next edits raise after they were applied."""
     notes: list[str] = field(default_factory=list)
 
     async def read_configuration(self) -> Configuration:
--- a/packages/mustardquay-cli/tests/test_commands.py
+++ b/packages/mustardquay-cli/tests/test_commands.py
@@ -14,12 +14,12 @@
 
 EXAMPLES = Path(__file__).parents[3] / "examples"
 SITE = EXAMPLES / "strassenmeldung"
-NOWHERE = "http://127.0.0.1:9"
+UNREACHABLE_URL = "http://127.0.0.1:9"
 
 
 @pytest.fixture(autouse=True)
-def no_pause(monkeypatch):
-    monkeypatch.setattr(clients, "PAUSE", clients.timedelta())
+def no_retry_delay(monkeypatch):
+    monkeypatch.setattr(clients, "RETRY_DELAY", clients.timedelta())
 
 
 def apply_examples(site):
@@ -98,9 +98,9 @@
     assert site.actions.configuration.version == 1
 
 
-def test_a_file_that_lost_a_race_is_refused_with_what_is_there_now(site):
-    # Two operators edit the same contract from the same revision. The second is
-    # told the present contract and its revision, and nothing is changed.
+def test_a_conflicting_edit_is_refused_with_the_current_contract(site):
+    # Two operators edit the same contract from the same revision. The second edit is
+    # refused with the current contract and its revision, and nothing is changed.
     apply_examples(site)
     site.run("contract", "amend", "tram-app", "share=0.2", "--revision", 1)
     result = site.run(
@@ -154,7 +154,7 @@
     result = site.run("status")
     assert result.stdout == snapshot
     assert "agent-1: The engine's state is unknown." in result.stderr
-    both = site.run("status", "--json", urls=[NOWHERE, *site.urls], code=4)
+    both = site.run("status", "--json", urls=[UNREACHABLE_URL, *site.urls], code=4)
     assert [len(item) > 2 for item in json.loads(both.stdout)] == [False, True, True]
 
 
@@ -170,41 +170,41 @@
 
 
 def test_a_lost_answer_to_an_edit_does_not_apply_it_twice(site):
-    # The store takes an edit, but its answer is lost and the operator's command
-    # sends the edit again. Under a new id it would conflict with itself.
+    # The store applies an edit, but its answer is lost and the command retries. Under
+    # a new change id the retry would conflict with the first attempt.
     site.actions.faults = [StoreResultUnknown("No answer; send the edit again.")]
     apply_examples(site)
     assert site.actions.configuration.version == 1
 
 
-def test_what_is_not_known_is_not_called_refused(site):
+def test_an_edit_with_unknown_result_is_not_reported_as_refused(site):
     unclear = [StoreResultUnknown("No answer; send the edit again.")]
     down = [StoreUnavailable("The store is down; ask again later.")] * 2
     site.actions.faults = unclear + down
     announce = ("change", "announce", "--action", "drain", "--target", "engine-1")
     result = site.run(*announce, code=ExitCode.UNCLEAR)
     assert "may or may not be in force" in result.stderr
-    site.run(*announce, urls=[NOWHERE], code=ExitCode.UNAVAILABLE)
+    site.run(*announce, urls=[UNREACHABLE_URL], code=ExitCode.UNAVAILABLE)
     site.run(*announce, urls=[], code=ExitCode.USAGE)
 
 
-def test_an_edit_goes_to_the_next_entry_when_one_is_gone(site):
-    urls = [NOWHERE, site.urls[0]]
+def test_an_edit_goes_to_the_next_entry_when_one_is_unreachable(site):
+    urls = [UNREACHABLE_URL, site.urls[0]]
     site.run("change", "announce", "--action", "drain", "--target", "a", urls=urls)
     assert "drain-a" in site.run("change", "list", urls=urls).stdout
 
 
 def test_waiting_ends_with_the_processes_that_are_behind(site):
     # One process does not answer and one that the entry links to still has the
-    # version before: the operator is told both, not that the edit is everywhere.
+    # previous version: both are reported, and the edit isn't reported as in force.
     site.peers |= {"agent-1": 0, "agent-2": 0, "agent-3": 1}
-    urls = [*site.urls, NOWHERE]
+    urls = [*site.urls, UNREACHABLE_URL]
     announce = ("change", "announce", "--action", "drain", "--target", "a")
     result = site.run(*announce, "--wait", "--wait-timeout", 0, urls=urls, code=4)
     assert "in force at 2 processes (agent-2 at 0; http://" in result.stderr
 
 
-def test_the_cost_of_a_change_is_told_before_it_is_announced(site):
+def test_the_cost_of_a_change_is_shown_before_it_is_announced(site):
     site.actions.notes = ["It touches 1 upstreams."]
     announce = ("change", "announce", "--action", "drain", "--target", "a")
     result = site.run(*announce, "--dry-run", "--json")
@@ -214,16 +214,16 @@
     site.run(*announce, "--dry-run", code=3)
 
 
-def test_a_port_that_is_no_admin_port_is_told(site):
-    # An operator takes the port for callers, or that of some other server: the
-    # command must say so instead of tripping over the answer.
+def test_a_url_that_is_not_an_admin_port_is_reported(site):
+    # An operator gives the port for callers, or that of some other server: the
+    # command must report this instead of failing to parse the answer.
     with socketserver.TCPServer(("127.0.0.1", 0), SimpleHTTPRequestHandler) as other:
         thread = threading.Thread(target=other.serve_forever)
         thread.start()
         url = f"http://127.0.0.1:{other.server_address[1]}"
         for command in (("status",), ("contract", "list"), ("timeline",)):
             result = site.run(*command, urls=[url], code=None)
-            assert "is no admin port" in result.stderr
+            assert "is not an admin port" in result.stderr
         other.shutdown()
         thread.join()
 
--- a/packages/mustardquay-cli/tests/test_timelines.py
+++ b/packages/mustardquay-cli/tests/test_timelines.py
@@ -9,7 +9,7 @@
 
 from mustardquay import Event, Stamp
 from mustardquay.event_records import describe_event, parse_event
-from mustardquay_cli.pictures import render_svg
+from mustardquay_cli.timeline_diagrams import render_svg
 from mustardquay_cli.timelines import merge_events, read_log
 from mustardquay_node.logs import EVENT_MESSAGE
 
@@ -43,7 +43,7 @@
             orjson.dumps({"message_type": EVENT_MESSAGE} | describe_event(event))
             for event in ring.list_events()
         ]
-        # Other lines, and a last one that was cut when the process was killed.
+        # Other lines, and an incomplete last one, as after a kill.
         other = [b'{"message_type": "other"}', b"text", b"[1]", b'{"message_type": "mu']
         file.write_bytes(b"\n".join([*lines, *other]))
         files.append(file)
@@ -60,7 +60,7 @@
     assert "3 earlier events are left out" in few.stderr
 
 
-def test_logs_and_rings_give_the_same_view_without_doubles(site, tmp_path):
+def test_logs_and_rings_give_the_same_view_without_duplicates(site, tmp_path):
     record_request(site)
     live = site.run("timeline").stdout
     options = [word for file in write_logs(site, tmp_path) for word in ("--log", file)]
@@ -69,12 +69,12 @@
     site.run("timeline", "--log", tmp_path / "none.log", code=1)
 
 
-def test_a_process_that_is_gone_is_told_beside_the_rest(site):
+def test_an_unreachable_process_is_reported_beside_the_rest(site):
     record_request(site)
-    gone = "http://127.0.0.1:9"
-    result = site.run("timeline", urls=[gone, *site.urls], code=4)
+    unreachable = "http://127.0.0.1:9"
+    result = site.run("timeline", urls=[unreachable, *site.urls], code=4)
     assert len(result.stdout.splitlines()) == 6
-    assert gone in result.stderr
+    assert unreachable in result.stderr
 
 
 def test_picture_has_a_lane_for_each_process(site, snapshot, tmp_path):
@@ -113,7 +113,7 @@
 
 
 @pytest.mark.parametrize("line", [b"", b"\xff", b"{}", b"null", b'{"message_type":[]}'])
-def test_odd_lines_of_a_log_are_passed_over(tmp_path, line):
+def test_malformed_lines_of_a_log_are_skipped(tmp_path, line):
     file = tmp_path / "odd.log"
     file.write_bytes(line + b"\n")
     assert list(read_log(file)) == []
