--- a/packages/mustardquay-standins/src/mustardquay_standins/__init__.py
+++ b/packages/mustardquay-standins/src/mustardquay_standins/__init__.py
@@ -1,1 +1,1 @@
-"""Stand-ins of platform, engines and callers; for development only."""
+"""Stand-ins for platform services, engines and callers; for development only."""
--- a/packages/mustardquay-standins/src/mustardquay_standins/answers.py
+++ b/packages/mustardquay-standins/src/mustardquay_standins/answers.py
@@ -1,8 +1,8 @@
-"""Answers: the deterministic text that an engine stand-in gives for a prompt.
+"""Answers: the deterministic text that an engine stand-in generates for a prompt.
 
-Every caller can work out what its whole answer must be, so that a token that is
-lost, doubled, crossed with another request's or from another prompt is seen.
-One word is one token; each token but the first begins with a space.
+Every caller can compute its whole answer, so that it detects a token that is lost,
+duplicated, swapped with another request's or generated for another prompt. One word
+is one token; each token but the first begins with a space.
 """
 
 from typing import Any
@@ -20,7 +20,7 @@
 ]
 
 ONE_WORD_MARKER = "answer in one word"
-"""A prompt with this text is answered by `open` or `shut`."""
+"""A prompt that contains this text is answered with `open` or `shut`."""
 CHARACTERS_PER_TOKEN = 4
 WORDS = (
     "road bridge ramp lane tunnel valley tram bus north south east west early late "
@@ -29,7 +29,7 @@
 
 
 def hash_prompt(prompt: str) -> int:
-    """Return the hash that stands for a prompt."""
+    """Return the hash that identifies a prompt."""
     return xxhash.xxh64_intdigest(prompt.encode())
 
 
@@ -40,7 +40,7 @@
 
 
 def expected_tokens(prompt: str, max_tokens: int) -> list[str]:
-    """Return the tokens of the answer, which joined are its text.
+    """Return the tokens of the answer; joined, they are its text.
 
     >>> "".join(expected_tokens("Booth 3?", 2)) == expected_text("Booth 3?", 2)
     True
@@ -62,7 +62,7 @@
 
 
 def read_prompt(body: dict[str, Any]) -> str:
-    """Return the prompt of a body: its text, or its messages line by line.
+    """Return the prompt of a body: its `prompt`, or its messages, one per line.
 
     >>> read_prompt({"messages": [{"role": "user", "content": "Free hours?"}]})
     'Free hours?'
@@ -76,7 +76,7 @@
 
 
 def count_tokens(prompt: str) -> int:
-    """Return the number of tokens of a prompt, at four characters each."""
+    """Return the number of tokens of a prompt, at four characters per token."""
     return max(1, len(prompt) // CHARACTERS_PER_TOKEN)
 
 
--- a/packages/mustardquay-standins/src/mustardquay_standins/caches.py
+++ b/packages/mustardquay-standins/src/mustardquay_standins/caches.py
@@ -1,4 +1,4 @@
-"""Caches: the prefix cache of an engine stand-in and the events it publishes."""
+"""Caches: the prefix cache of an engine stand-in and the events that it publishes."""
 
 from collections import OrderedDict, deque
 from dataclasses import dataclass
@@ -11,7 +11,7 @@
 
 __all__ = ["PrefixCache"]
 
-EVENTS_KEPT = 1000
+MAX_EVENTS = 1000
 
 
 @dataclass(frozen=True, slots=True)
@@ -23,31 +23,30 @@
 
 
 class PrefixCache:
-    """Pieces of prompt in limited memory; the least recently used goes first."""
+    """An LRU cache of pieces of prompts, limited in size."""
 
     def __init__(self, capacity: int, clock: Clock, random: Random):
         self._capacity = capacity
         self._clock = clock
         self._random = random
         self._pieces: OrderedDict[int, None] = OrderedDict()
-        self._events: deque[_Event] = deque(maxlen=EVENTS_KEPT)
+        self._events: deque[_Event] = deque(maxlen=MAX_EVENTS)
         self._number = 0
 
     @property
     def used(self) -> int:
-        """Return the tokens that are kept."""
+        """Return the number of cached tokens."""
         return len(self._pieces) * PIECE_TOKENS
 
     @property
     def capacity(self) -> int:
-        """Return the tokens that there is room for."""
+        """Return the capacity in tokens."""
         return self._capacity * PIECE_TOKENS
 
     def use(self, pieces: tuple[int, ...], lost_events: float = 0.0) -> int:
-        """Keep the pieces and return how many tokens of them were there before.
+        """Cache the pieces; return how many of their tokens were cached before.
 
-        `lost_events` is the part of the events that take a number but are never
-        published.
+        `lost_events` is the fraction of events that are numbered but never published.
         """
         cached = 0
         for piece in pieces:
@@ -65,12 +64,12 @@
         return cached * PIECE_TOKENS
 
     def clear(self) -> None:
-        """Lose all pieces, without events, as in a crash or a change of role."""
+        """Drop all pieces without events, as in a crash or a change of role."""
         self._pieces.clear()
         self._events.clear()
 
     def show_events(self, after: int, lag: timedelta) -> dict[str, Any]:
-        """Return the published events behind `after` that are older than `lag`."""
+        """Return the published events after `after` that are older than `lag`."""
         limit = self._clock.monotonic() - lag
         visible = [event for event in self._events if event.at <= limit]
         oldest = visible[0].number if visible else self._number + 1
--- a/packages/mustardquay-standins/src/mustardquay_standins/children.py
+++ b/packages/mustardquay-standins/src/mustardquay_standins/children.py
@@ -1,4 +1,4 @@
-"""Children: processes that tests and benchmarks start, and what they use."""
+"""Children: processes that tests and benchmarks start, and their resource usage."""
 
 import asyncio
 import os
@@ -11,13 +11,13 @@
 
 __all__ = ["Child", "start_child"]
 
-TICKS = os.sysconf("SC_CLK_TCK")
-STOP_LIMIT = 15.0
-"""Seconds for a graceful stop."""
+TICKS_PER_SECOND = os.sysconf("SC_CLK_TCK")
+STOP_TIMEOUT = 15.0
+"""Seconds after which a process that does not stop gracefully is killed."""
 
 
 class Child:
-    """One process that was started."""
+    """A child process."""
 
     def __init__(self, process: Process, words: dict[str, str]):
         self._process = process
@@ -25,10 +25,10 @@
 
     @property
     def cpu_seconds(self) -> float:
-        """Return the processor time, user and system, of all its threads."""
+        """Return the CPU time, user and system, of all its threads."""
         text = Path(f"/proc/{self._process.pid}/stat").read_text(encoding="ascii")
         fields = text.rpartition(")")[2].split()
-        return (int(fields[11]) + int(fields[12])) / TICKS
+        return (int(fields[11]) + int(fields[12])) / TICKS_PER_SECOND
 
     @property
     def memory(self) -> int:
@@ -38,23 +38,23 @@
 
     @property
     def exit_code(self) -> int | None:
-        """Return how it has ended; None while it runs."""
+        """Return its exit code, None while it runs."""
         return self._process.returncode
 
     def get_word(self, name: str) -> str:
-        """Return what stood behind NAME= on the line that said it is ready."""
+        """Return the value of NAME= on the line that it printed when ready."""
         return self._words[name]
 
     def pause(self) -> None:
-        """Stop it from running, as a host that is overloaded does."""
+        """Suspend it, as happens on an overloaded host."""
         self._signal(signal.SIGSTOP)
 
     def wake(self) -> None:
-        """Let a paused process go on."""
+        """Resume it after a pause."""
         self._signal(signal.SIGCONT)
 
     def reload(self) -> None:
-        """Tell it that its settings have changed."""
+        """Signal that its settings have changed."""
         self._signal(signal.SIGHUP)
 
     def _signal(self, number: signal.Signals) -> None:
@@ -62,18 +62,18 @@
             self._process.send_signal(number)
 
     async def kill(self) -> None:
-        """End it without notice, if it has not ended yet."""
+        """Kill it, if it has not ended yet."""
         if self._process.returncode is None:
             self._process.kill()
         await self._process.wait()
 
     async def stop(self) -> None:
-        """Ask it to stop, and end it if it doesn't."""
+        """Stop it gracefully, and kill it after `STOP_TIMEOUT`."""
         if self._process.returncode is not None:
             return
         self._process.terminate()
         try:
-            async with asyncio.timeout(STOP_LIMIT):
+            async with asyncio.timeout(STOP_TIMEOUT):
                 await self._process.wait()
         except TimeoutError:
             self._process.kill()
@@ -89,8 +89,8 @@
 ) -> Child:
     """Run a Python module; with `ready`, wait for its first line of output.
 
-    `before` are arguments of the interpreter ahead of the module, such as those of
-    a profiler. Without `ready`, what it writes is added to the file `output`.
+    `before` are arguments of the interpreter that precede the module, such as those
+    of a profiler. Without `ready`, its output is appended to the file `output`.
     """
     if ready:
         return await _spawn(module, arguments, before, PIPE)
--- a/packages/mustardquay-standins/src/mustardquay_standins/clients.py
+++ b/packages/mustardquay-standins/src/mustardquay_standins/clients.py
@@ -1,4 +1,4 @@
-"""Clients: a caller of a site, for demos, load and tests."""
+"""Clients: a caller of a site, for demos, load tests and tests."""
 
 import asyncio
 from collections.abc import Callable
@@ -19,7 +19,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Answer:
-    """What a caller got."""
+    """The response that a caller received."""
 
     status: int
     headers: HTTPHeaders
@@ -30,12 +30,12 @@
 
     @property
     def outcome(self) -> str:
-        """Return the outcome that the entry told, "" when it told none."""
+        """Return the outcome that the entry reported, "" for none."""
         return self.headers.get("Mustardquay-Outcome", "")
 
     @property
     def request(self) -> str:
-        """Return the id that the entry gave the request."""
+        """Return the request id that the entry assigned."""
         return self.headers.get("Mustardquay-Request", "")
 
     def parse(self) -> Any:
@@ -44,7 +44,7 @@
 
 
 @dataclass(slots=True)
-class _Parts:
+class _ReceivedData:
     data: list[bytes] = field(default_factory=list)
     first: float | None = None
 
@@ -57,7 +57,7 @@
         self._client = AsyncHTTPClient(force_instance=True, max_clients=1000)
 
     def close(self) -> None:
-        """Abandon the calls under way."""
+        """Close the HTTP client; calls in progress are aborted."""
         self._client.close()
 
     async def call(
@@ -68,15 +68,15 @@
         headers: dict[str, str] | None = None,
         on_data: Callable[[bytes], None] | None = None,
     ) -> Answer:
-        """Call and return whatever came, also of an answer that broke off."""
-        parts = _Parts()
+        """Make a call; returns what was received, even if the connection was lost."""
+        received = _ReceivedData()
         loop = asyncio.get_running_loop()
         started = loop.time()
 
         def take(data: bytes) -> None:
-            if parts.first is None:
-                parts.first = loop.time()
-            parts.data.append(data)
+            if received.first is None:
+                received.first = loop.time()
+            received.data.append(data)
             if on_data is not None:
                 on_data(data)
 
@@ -91,11 +91,11 @@
             allow_nonstandard_methods=True,
         )
         response: HTTPResponse = await self._client.fetch(request, raise_error=False)
-        first = None if parts.first is None else parts.first - started
+        first = None if received.first is None else received.first - started
         return Answer(
             response.code,
             response.headers,
-            b"".join(parts.data),
+            b"".join(received.data),
             timedelta(seconds=loop.time() - started),
             None if first is None else timedelta(seconds=first),
         )
@@ -103,7 +103,7 @@
     async def chat(
         self, entry: str, model: str, prompt: str, max_tokens: int, stream: bool
     ) -> Answer:
-        """Ask for a chat completion."""
+        """Request a chat completion."""
         body = {
             "model": model,
             "messages": [{"role": "user", "content": prompt}],
@@ -114,7 +114,7 @@
 
 
 def read_stream_text(body: bytes) -> tuple[str, bool]:
-    """Return the text of a streamed chat, and whether its end mark came."""
+    """Return the text of a streamed chat, and whether `[DONE]` was received."""
     texts = []
     done = False
     for event in body.split(b"\n\n"):
--- a/packages/mustardquay-standins/src/mustardquay_standins/costs.py
+++ b/packages/mustardquay-standins/src/mustardquay_standins/costs.py
@@ -1,20 +1,20 @@
-"""Costs: how long a model engine takes, from the make-up of its batch.
-
-The engine is one that batches continuously and splits long prompts over steps
-(chunked prefill). A step reads the weights once, whatever is in the batch, and
-does the arithmetic of every token in it; whichever takes longer counts. To that
-come attention over the context of each token and a fixed overhead.
-
-Where the figures come from. None was measured here. `ModelShape` has the published
-dimensions of an open dense model of 70 billion parameters with grouped-query
-attention (80 layers, hidden size 8192, 8 key-value heads of 128, 16 bits).
-`Hardware` has the data sheet's figures of four accelerators of the 80 GB class, and
-the parts of them that serving engines are commonly reported to reach: half of
+"""Costs: step times of a model engine, computed from the composition of its batch.
+
+The engine uses continuous batching and splits long prompts over steps (chunked
+prefill). A step reads the weights once, independent of the batch, and does the
+arithmetic of every token in it; the longer of the two counts. Attention over the
+context of each token and a fixed overhead are added.
+
+Sources of the figures, none of which was measured here: `ModelShape` has the
+published dimensions of an open dense model of 70 billion parameters with
+grouped-query attention (80 layers, hidden size 8192, 8 key-value heads of 128, 16
+bits). `Hardware` has data sheet figures of four accelerators of the 80 GB class, and
+the fractions of them that serving engines are commonly reported to reach: half of
 the arithmetic and 0.7 of the bandwidth. That a step costs the larger of arithmetic
 and weight reads is the roofline model (Williams et al., CACM 2009); that a mixed
 step delays the tokens of all others in it follows Agrawal et al., "Sarathi-Serve",
-OSDI 2024. `Changes` are assumptions: "seconds" for a role change, and weights at
-2 GB/s.
+OSDI 2024. `ChangeTimes` are assumptions: a few seconds for a role change, and weights
+loaded at 2 GB/s.
 
 All functions are pure.
 """
@@ -28,7 +28,7 @@
 
 __all__ = [
     "Batch",
-    "Changes",
+    "ChangeTimes",
     "EngineCosts",
     "Hardware",
     "ModelShape",
@@ -66,71 +66,71 @@
 
 @dataclass(frozen=True, slots=True)
 class Hardware:
-    """The accelerators of one engine, taken together where not said otherwise."""
+    """The accelerators of one engine; figures are totals unless stated otherwise."""
 
     accelerators: int = 4
     operations: float = 989e12
-    """Floating-point operations a second of one accelerator, 16 bits, dense."""
+    """Floating-point operations per second of one accelerator, 16 bits, dense."""
     bandwidth: float = 3.35e12
-    """Bytes a second of one accelerator's memory."""
+    """Memory bandwidth of one accelerator in bytes per second."""
     memory: float = 80e9
-    """Bytes of one accelerator."""
+    """Memory of one accelerator in bytes."""
     usable_operations: float = 0.5
     usable_bandwidth: float = 0.7
     usable_memory: float = 0.9
     network: float = 25e9
-    """Bytes a second between two engines."""
+    """Bytes per second between two engines."""
 
 
 @dataclass(frozen=True, slots=True)
-class Changes:
-    """Time for which a change takes an engine away; assumptions."""
+class ChangeTimes:
+    """Durations for which a change makes an engine unavailable; assumptions."""
 
     role: timedelta = timedelta(seconds=5)
     adapter: timedelta = timedelta(milliseconds=300)
     weights_rate: float = 2e9
-    """Bytes a second from the weight store."""
+    """Bytes per second from the weight store."""
 
 
 @dataclass(frozen=True, slots=True)
 class EngineCosts:
-    """The cost model of one engine; times in seconds, derived once."""
+    """The cost model of one engine; times are in seconds."""
 
     overhead: float
-    """Of each step, for scheduling and exchange between accelerators."""
+    """Per step, for scheduling and communication between accelerators."""
     weight_read: float
-    """Of each step, to read the weights."""
+    """Per step, to read the weights."""
     token: float
     """Arithmetic for one token, of a prompt or of an answer."""
     attended: float
     """Arithmetic for one token of context that a token of a prompt attends to."""
     cache_read: float
-    """Reading one token of context for a sequence that decodes."""
+    """Reading one token of context for a sequence that is decoding."""
     cache_tokens: int
-    """Tokens of KV cache that there is room for, running and kept prefixes."""
+    """Capacity of the KV cache in tokens, for running requests and cached prefixes."""
     cache_bytes: int
     """Bytes of KV cache of one token."""
     network: float
-    """Bytes a second between two engines."""
+    """Bytes per second between two engines."""
     role_change: timedelta
     adapter_load: timedelta
     model_load: timedelta
     chunk: Mapping[Role, int] = field(
         default_factory=lambda: {Role.PREFILL: 8192, Role.MIXED: 512, Role.DECODE: 128}
     )
-    """Most prompt tokens in one step, by role."""
+    """Maximum prompt tokens in one step, by role."""
     batch_limit: int = 256
-    """Most sequences that run at once."""
+    """Maximum sequences in one batch."""
 
     @property
     def cache_pieces(self) -> int:
-        """Return how many pieces of prompt there is room for."""
+        """Return the capacity of the prefix cache in pieces of prompt."""
         return self.cache_tokens // PIECE_TOKENS
 
 
 @dataclass(frozen=True, slots=True)
 class Batch:
-    """What one step works on."""
+    """The work of one step."""
 
     prefill_tokens: int = 0
     attended_tokens: int = 0
@@ -138,23 +138,23 @@
     sequences: int = 0
     """Sequences that get a token in this step."""
     context_tokens: int = 0
-    """Sum of the lengths of these sequences, prompt and answer so far."""
+    """Sum of the lengths of these sequences: prompt, and answer so far."""
 
 
 def derive_costs(
     shape: ModelShape | None = None,
     hardware: Hardware | None = None,
-    changes: Changes | None = None,
+    changes: ChangeTimes | None = None,
     overhead: timedelta = timedelta(milliseconds=2),
 ) -> EngineCosts:
-    """Work out the costs of a model on some accelerators.
+    """Derive the cost model from a model, accelerators and durations of changes.
 
     >>> derive_costs().cache_pieces
     223
     """
     shape = shape or ModelShape()
     hardware = hardware or Hardware()
-    changes = changes or Changes()
+    changes = changes or ChangeTimes()
     count = hardware.accelerators
     operations = count * hardware.operations * hardware.usable_operations
     bandwidth = count * hardware.bandwidth * hardware.usable_bandwidth
@@ -196,7 +196,7 @@
 def estimate_prefill_rate(
     costs: EngineCosts, role: Role, prompt_tokens: int = 8000
 ) -> float:
-    """Return the prompt tokens a second of an engine that only prefills.
+    """Return the prompt tokens per second of an engine that only prefills.
 
     >>> costs = derive_costs()
     >>> mixed = estimate_prefill_rate(costs, Role.MIXED)
@@ -211,11 +211,11 @@
 def estimate_decode_rate(
     costs: EngineCosts, sequences: int, context_tokens: int = 2000
 ) -> float:
-    """Return the tokens a second of each of some sequences of the same length."""
+    """Return the tokens per second of each of `sequences` of equal length."""
     batch = Batch(sequences=sequences, context_tokens=sequences * context_tokens)
     return 1.0 / estimate_step_time(costs, batch).total_seconds()
 
 
 def estimate_transfer_time(costs: EngineCosts, tokens: int) -> timedelta:
-    """Return the time to move the KV cache of so many tokens to another engine."""
+    """Return the time to transfer the KV cache of `tokens` to another engine."""
     return timedelta(seconds=tokens * costs.cache_bytes / costs.network)
--- a/packages/mustardquay-standins/src/mustardquay_standins/demos.py
+++ b/packages/mustardquay-standins/src/mustardquay_standins/demos.py
@@ -1,7 +1,7 @@
-"""Demos: real requests to a whole site, with a drain in the middle.
+"""Demos: real requests to a whole site, with the drain of an engine in between.
 
-Exits with 0 only when every answer was whole and every call that may run once ran
-once, as the stand-ins counted.
+Exits with 0 only when every answer was complete and every non-idempotent call was
+executed once, by the counters of the stand-ins.
 """
 
 import asyncio
@@ -30,9 +30,9 @@
 BULLETIN_SENTENCES = 200
 DRAFT_TOKENS = 60
 TIMELINE_LINES = 24
-LIMIT = 60.0
+TIMEOUT = 60.0
 """Seconds for a planned change to take effect."""
-POLL = 0.02
+POLL_INTERVAL = 0.02
 FAILED = 1
 
 SUBJECTS = {
@@ -43,7 +43,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Sample:
-    """One request of the demo and whether it got what it should."""
+    """One request of the demo and whether its answer was as expected."""
 
     kind: str
     answer: Answer
@@ -63,17 +63,17 @@
 
     @property
     def samples(self) -> list[Sample]:
-        """Return what was sent and what came."""
+        """Return the requests sent so far, with their answers."""
         return self._samples
 
     async def run(self) -> bool:
-        """Run the demo; return whether all was as it should be."""
-        self._say("Starting the site: 3 availability zones, 2 entries, 6 engines …")
+        """Run the demo; return whether every check passed."""
+        self._print("Starting the site: 3 availability zones, 2 entries, 6 engines …")
         await self._site.start()
         client = SiteClient(self._site.customer.keys[0])
         try:
             for number in range(ROUNDS):
-                self._say(f"Round {number + 1} of {ROUNDS}")
+                self._print(f"Round {number + 1} of {ROUNDS}")
                 await self._run_round(client, drain=number == ROUNDS // 2)
         finally:
             client.close()
@@ -81,7 +81,7 @@
         self._show_timeline()
         good = self._check_counts() and all(sample.good for sample in self._samples)
         await self._site.close()
-        self._say("All good." if good else "Something is wrong; see above.")
+        self._print("All checks passed." if good else "Some checks failed; see above.")
         return good
 
     async def _run_round(self, client: SiteClient, drain: bool) -> None:
@@ -146,27 +146,27 @@
         self._samples.append(Sample(kind, answers[1], good and same))
 
     async def _drain_one(self) -> None:
-        """Announce a drain of one engine, as an operator does, and take it back."""
+        """Announce a drain of one engine, as an operator does, then cancel it."""
         upstream = next(iter(self._site.engines))
         entry = next(iter(self._site.entries.values()))
         agent = self._site.find_agent(upstream)
-        self._say(f"Announcing a drain of {upstream} …")
+        self._print(f"Announcing a drain of {upstream} …")
         change = PlannedChange(
             "demo", Action.DRAIN, Scope.UPSTREAM, upstream, accept_overload=True
         )
         amendment = ChangeAmendment("demo", 0, change)
         version = await entry.apply_edit(Edit(uuid4().hex, "demo", (amendment,)))
         await self._wait_for(lambda: not agent.is_ready)
-        self._say(f"{upstream} takes no new work and finishes what runs; taking back.")
+        self._print(f"{upstream} takes no new work; cancelling the drain.")
         amendment = ChangeAmendment("demo", version, None)
         await entry.apply_edit(Edit(uuid4().hex, "demo", (amendment,)))
         await self._wait_for(lambda: agent.is_ready)
-        self._say(f"{upstream} is back.")
+        self._print(f"{upstream} is ready again.")
 
     async def _wait_for(self, holds: Callable[[], bool]) -> None:
-        async with asyncio.timeout(LIMIT):
+        async with asyncio.timeout(TIMEOUT):
             while not holds():
-                await asyncio.sleep(POLL)
+                await asyncio.sleep(POLL_INTERVAL)
 
     def _check_counts(self) -> bool:
         runs = dict.fromkeys(self._keys, 0)
@@ -174,8 +174,8 @@
             for key in runs:
                 runs[key] += service.counters.by_key[key]
         wrong = {key: count for key, count in runs.items() if count != 1}
-        self._say(
-            f"{len(runs)} calls that may run once: {len(runs) - len(wrong)} ran once."
+        self._print(
+            f"{len(runs)} non-idempotent calls: {len(runs) - len(wrong)} executed once."
         )
         return not wrong
 
@@ -202,12 +202,12 @@
     def _show_timeline(self) -> None:
         nodes = (*self._site.entries.values(), *self._site.agents.values())
         events = [event for node in nodes for event in node.events.list_events()]
-        self._say("The last of the time line:")
+        self._print("The last events of the timeline:")
         for event in select_events(events)[-TIMELINE_LINES:]:
             line = render_event(event)
             self._console.print(line, highlight=False, soft_wrap=True, markup=False)
 
-    def _say(self, text: str) -> None:
+    def _print(self, text: str) -> None:
         self._console.print(text)
 
 
@@ -215,7 +215,7 @@
     site: Annotated[str, typer.Option(help=f"One of {', '.join(SITE_NAMES)}.")],
     seed: int = 7,
 ) -> None:
-    """Run the demo; exit with 0 only when every check held."""
+    """Run the demo; exit with 0 only when every check passed."""
     if not asyncio.run(Demo(site, seed).run()):
         raise typer.Exit(FAILED)
 
--- a/packages/mustardquay-standins/src/mustardquay_standins/engines.py
+++ b/packages/mustardquay-standins/src/mustardquay_standins/engines.py
@@ -1,8 +1,9 @@
-"""Engines: a stand-in of a model engine with continuous batching.
+"""Engines: a stand-in for a model engine with continuous batching.
 
-One loop advances all running requests a step at a time, as an engine does: each
-step gives every request in its decode phase one token and works off some prompt
-of the others. Answers come from `answers`, the real state is held by `states`.
+One loop advances all running requests step by step, as an engine does: each step
+generates one token for every request in its decode phase and prefills part of the
+prompts of the others. `answers` generates the answers; `states` holds the state that
+orders change.
 """
 
 import asyncio
@@ -26,8 +27,8 @@
 COMPLETIONS = "/v1/completions"
 CHAT_COMPLETIONS = "/v1/chat/completions"
 KV_PREFIX = "/kv/"
-POLL = 0.01
-"""Seconds between looks at a switch that holds something up."""
+POLL_INTERVAL = 0.01
+"""Seconds between checks of a switch that blocks the loop."""
 
 
 class EngineStandin(StandinServer):
@@ -50,10 +51,10 @@
         weights_url: str = "",
         costs: EngineCosts | None = None,
     ):
-        """Be ready to start.
+        """Create an engine that is not started.
 
-        Each step lasts `token_gap` and does its part of `prefill_rate` tokens a
-        second, or with `costs` what the cost model says of its batch.
+        Each step lasts `token_gap` and prefills at most `prefill_rate` times
+        `token_gap` tokens. With `costs`, the cost model determines both instead.
         """
         super().__init__(EngineFaults(), EngineCounters(), clock, seed)
         self._token_gap = token_gap
@@ -67,7 +68,7 @@
             self.counters.orders,
             change_time,
             weights_url,
-            self._cut_for_change,
+            self._interrupt_generations,
         )
         self._waiting: list[EngineRequest] = []
         self._running: list[EngineRequest] = []
@@ -83,12 +84,12 @@
 
     @property
     def running(self) -> int:
-        """Return how many generations run or wait."""
+        """Return the number of running and waiting generations."""
         return len(self._running) + len(self._waiting)
 
     @property
     def orders(self) -> EngineOrders:
-        """Return the real state and what changes it."""
+        """Return the state of the engine and the orders that change it."""
         return self._orders
 
     def list_routes(self) -> tuple[Route, ...]:
@@ -108,15 +109,15 @@
         )
 
     async def start(self, address: str = "127.0.0.1", port: int = 0) -> None:
-        """Listen and run the loop of steps."""
+        """Listen and start the loop of steps."""
         await super().start(address, port)
         self._spawn(self._run_steps())
 
     async def crash(self) -> None:
-        """Drop every connection, stop listening, and come back unknown."""
+        """Drop every connection, stop listening, and restart with unknown state."""
         self.counters.crashes += 1
         port = self.port
-        self._cut()
+        self._disconnect()
         self._waiting.clear()
         self._running.clear()
         self._exports.clear()
@@ -157,7 +158,7 @@
             due = max(due + duration, loop.time())
             await asyncio.sleep(due - loop.time())
             while self.faults.freeze_streams:
-                await asyncio.sleep(POLL)
+                await asyncio.sleep(POLL_INTERVAL)
 
     def _step(self) -> timedelta:
         self.counters.steps += 1
@@ -176,7 +177,7 @@
             elif request.writer.ready:
                 sequences += 1
                 context += request.prompt_tokens + request.produced
-                self._emit(request)
+                self._generate_token(request)
         if self._costs is None:
             return self._token_gap
         batch = Batch(prefilled, attended, sequences, context)
@@ -199,7 +200,7 @@
             request.prefill_left = request.prompt_tokens - request.cached_tokens
             self._running.append(request)
 
-    def _emit(self, request: EngineRequest) -> None:
+    def _generate_token(self, request: EngineRequest) -> None:
         if request.position < len(request.tokens):
             request.writer.write_token(request.tokens[request.position])
             request.position += 1
@@ -232,7 +233,7 @@
         while len(self._exports) > self._concurrency:
             del self._exports[next(iter(self._exports))]
 
-    def _cut_for_change(self) -> None:
+    def _interrupt_generations(self) -> None:
         for request in [*self._running, *self._waiting]:
             self.counters.cut_by_change += 1
             request.writer.drop()
--- a/packages/mustardquay-standins/src/mustardquay_standins/fleets.py
+++ b/packages/mustardquay-standins/src/mustardquay_standins/fleets.py
@@ -1,7 +1,7 @@
 """Fleets: engines, their agents and the entries that control them, without sockets.
 
-Everything runs in one process on a virtual clock and one set of tables, a turn at a
-time, for tests of control and its failures.
+Everything runs in one process on a virtual clock and one set of tables, one iteration
+of the control loops at a time, for tests of the control plane and its failures.
 """
 
 from collections.abc import Iterable
@@ -23,13 +23,13 @@
 __all__ = ["Fleet", "StaticReplica"]
 
 SECOND = timedelta(seconds=1)
-LONGEST_ORDER = timedelta(seconds=30)
-TERM = timedelta(seconds=10)
+ORDER_TIMEOUT = timedelta(seconds=30)
+LEASE_TERM = timedelta(seconds=10)
 MODEL = "m"
 
 
 class StaticReplica:
-    """Has a configuration that is set from outside, and its head row."""
+    """A replica whose configuration and head row are set by the test."""
 
     def __init__(self, tables: Tables):
         self._tables = tables
@@ -67,9 +67,9 @@
         self.zones = {f"runner-{n}": zones[n % len(zones)] for n in range(size)}
         self.names = list(self.zones)
         self.busy: set[str] = set()
-        """Names of the upstreams on which requests run."""
+        """Names of the upstreams with running requests."""
         self.lowest = size
-        """Fewest engines that were ready at any time."""
+        """Lowest number of ready engines so far."""
         self._fencing = fencing
         self._share = share
         desired = Desired(Role.MIXED, {MODEL: "1"})
@@ -100,7 +100,7 @@
         self.replica.put(configuration)
 
     def make_agent(self, name: str, number: int) -> Reconciler:
-        """Return an agent for an engine; its store's switches are `agent.store`."""
+        """Return an agent for an engine; `agent.store` has the fault switches."""
         store = LocalTables(self.tables)
         agent = Reconciler(
             name,
@@ -111,14 +111,14 @@
             self.clock,
             Random(number),
             self._fencing,
-            LONGEST_ORDER,
+            ORDER_TIMEOUT,
             lambda: name not in self.busy,
         )
         agent.store = store
         return agent
 
     def make_entry(self, number: int, zone: str = "linz") -> Controller:
-        """Return an entry's controller; its store's switches are `entry.store`."""
+        """Return an entry's controller; `entry.store` has the fault switches."""
         store = LocalTables(self.tables)
         entry = Controller(
             zone,
@@ -127,13 +127,13 @@
             self.replica,
             self.clock,
             Random(number),
-            term=TERM,
+            term=LEASE_TERM,
         )
         entry.store = store
         return entry
 
     async def run(self, seconds: int, entries: list[Controller] | None = None) -> None:
-        """Let everybody, or of the entries just some, take a turn each second."""
+        """Run every control loop once per second, or only those of some `entries`."""
         for _ in range(seconds):
             for entry in self.entries if entries is None else entries:
                 await entry.run_once()
@@ -143,16 +143,16 @@
             self.clock.advance(SECOND)
 
     async def settle(self) -> None:
-        """Let agents claim their engines and the holders adopt them."""
+        """Run until agents have claimed their engines and controllers adopted them."""
         await self.run(30)
         self.lowest = len(self.names)
 
     def count_ready(self) -> int:
-        """Return how many engines may get requests."""
+        """Return the number of engines that may get requests."""
         return sum(agent.ready for agent in self.agents.values())
 
     def list_versions(self) -> list[str]:
-        """Return the version that each engine's order row asks for."""
+        """Return the model version that each engine's order row requests."""
         rows = [
             self.tables.read(ORDERS, f"{zone}/{name}")
             for name, zone in self.zones.items()
@@ -160,5 +160,5 @@
         return [row.value["desired"]["models"][MODEL] for row in rows]
 
     def count_conflicts(self) -> int:
-        """Return how many orders the engines should not have been given."""
+        """Return the number of orders that conflicted with earlier ones."""
         return sum(engine.conflicts for engine in self.engines.values())
--- a/packages/mustardquay-standins/src/mustardquay_standins/instances.py
+++ b/packages/mustardquay-standins/src/mustardquay_standins/instances.py
@@ -1,4 +1,4 @@
-"""Instances: a stand-in of the platform's lagging list of instances."""
+"""Instances: a stand-in for the platform's list of instances, which lags."""
 
 from collections import deque
 from collections.abc import Sequence
@@ -14,7 +14,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Instance:
-    """One line of the list."""
+    """One item of the list."""
 
     name: str
     kind: str
@@ -29,23 +29,23 @@
 
 @dataclass(slots=True)
 class InstanceFaults:
-    """Switches of the instance list."""
+    """Fault switches of the instance list."""
 
     down: bool = False
     lag: timedelta = timedelta()
-    """Age of the list that is answered."""
+    """Age of the list that callers get."""
 
 
 @dataclass(slots=True)
 class InstanceCounters:
-    """What the instance list has seen."""
+    """Counters of the instance list."""
 
     reads: int = 0
     """Including those that were refused."""
 
 
 class InstanceStandin(StandinServer):
-    """The instance list over HTTP; remembers former lists, to answer late."""
+    """The instance list over HTTP; keeps earlier lists to simulate the lag."""
 
     faults: InstanceFaults
     counters: InstanceCounters
@@ -58,7 +58,7 @@
 
     @property
     def instances(self) -> tuple[Instance, ...]:
-        """Return the present list, without lag."""
+        """Return the current list, without lag."""
         return self._history[-1][1]
 
     def list_routes(self) -> tuple[Route, ...]:
@@ -69,7 +69,7 @@
         )
 
     def set_instances(self, instances: Sequence[Instance]) -> None:
-        """Replace the list; callers see it when the lag is over."""
+        """Replace the list; callers see it once the lag has passed."""
         self._history.append((self._clock.monotonic(), tuple(instances)))
 
     def set_state(self, name: str, state: str) -> None:
@@ -83,7 +83,7 @@
         self.set_instances(changed)
 
     def remove(self, name: str) -> None:
-        """Take one instance off the list."""
+        """Remove one instance from the list."""
         self.set_instances([one for one in self.instances if one.name != name])
 
     async def _list(self, call: Call) -> None:
--- a/packages/mustardquay-standins/src/mustardquay_standins/load_plans.py
+++ b/packages/mustardquay-standins/src/mustardquay_standins/load_plans.py
@@ -1,4 +1,4 @@
-"""Load plans: which calls come when, drawn from a seed."""
+"""Load plans: the calls of a load test and their arrival times, drawn from a seed."""
 
 from collections.abc import Iterator
 from dataclasses import dataclass, field
@@ -14,7 +14,7 @@
 
 
 class CallKind(StrEnum):
-    """What a caller asks for."""
+    """The kind of a call."""
 
     DRAFT = "draft"
     """A short text, streamed."""
@@ -23,25 +23,25 @@
     ENQUIRY = "enquiry"
     """An idempotent call of a plain service."""
     BOOKING = "booking"
-    """A call of a plain service that may not be repeated."""
+    """A call of a plain service that is not idempotent."""
 
 
 @dataclass(frozen=True, slots=True)
 class LoadPlan:
-    """How many calls of which kinds; lengths are drawn from ranges."""
+    """Number, rate and kinds of calls; lengths are drawn from ranges."""
 
     calls: int = 100
     rate: float = 50.0
-    """Arrivals a second, at random as a Poisson process."""
+    """Mean arrivals per second of a Poisson process."""
     mix: dict[CallKind, float] = field(
         default_factory=lambda: dict.fromkeys(CallKind, 1.0)
     )
     """Weight of each kind."""
     prompt_words: tuple[int, int] = (200, 2000)
-    """Length of the text that one word is wanted for."""
+    """Range of words in the prompt of a `WORD` call."""
     draft_tokens: tuple[int, int] = (20, 60)
     repeats: int = 0
-    """How often a caller sends a call again that was not answered."""
+    """Maximum retries of a call that was not answered."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -59,7 +59,7 @@
 
 
 def plan_arrivals(plan: LoadPlan, random: Random) -> Iterator[Arrival]:
-    """Draw the calls of a plan, in the order of their arrival.
+    """Yield the calls of a plan in order of arrival.
 
     >>> arrivals = list(plan_arrivals(LoadPlan(calls=3), Random(1)))
     >>> [one.number for one in arrivals]
--- a/packages/mustardquay-standins/src/mustardquay_standins/loads.py
+++ b/packages/mustardquay-standins/src/mustardquay_standins/loads.py
@@ -1,9 +1,9 @@
-"""Loads: a driver that calls as the users' callers do, and checks each answer.
+"""Loads: a load generator that checks every answer.
 
-Arrivals are open-loop: they come at their planned instants, whether or not earlier
-ones were answered, as from callers who don't know of each other. The plan follows
-from a seed. Every answer of a model is compared with the text that an engine
-stand-in must give, so that tokens lost, doubled or crossed are found.
+Arrivals are open-loop: calls are made at their planned times, whether or not earlier
+ones were answered, as from independent callers. A seed determines the plan. Every
+answer of a model is compared with the text that an engine stand-in must generate, so
+that lost, duplicated and swapped tokens are detected.
 """
 
 import asyncio
@@ -43,10 +43,10 @@
 
 @dataclass(frozen=True, slots=True)
 class LoadTarget:
-    """Whom to call and as whom."""
+    """The URLs and the credentials of a load test."""
 
     urls: Sequence[str]
-    """Base URLs, of which each call takes one in turn."""
+    """Base URLs, used round-robin."""
     model: str = "model"
     api_key: str = ""
     enquiry_path: str = "/hours"
@@ -56,15 +56,15 @@
 
 @dataclass(slots=True)
 class LoadReport:
-    """What came of a plan; times are in seconds."""
+    """The results of a plan; times are in seconds."""
 
     outcomes: Counter[tuple[CallKind, str]] = field(default_factory=Counter)
     """Calls by kind and outcome, each call once, by its last outcome: that of the
     header where there is one, else `answered`, `refused` or `broken`."""
     statuses: Counter[int] = field(default_factory=Counter)
-    """Answers by HTTP status, 0 for none; repeats count too."""
+    """Answers by HTTP status, 0 for none; retries are included."""
     wrong: list[int] = field(default_factory=list)
-    """Numbers of calls whose answer was passed off as whole and was not."""
+    """Numbers of calls whose answer was declared complete but was not as expected."""
     tokens: int = 0
     whole: dict[CallKind, Samples] = field(
         default_factory=lambda: {kind: Samples() for kind in CallKind}
@@ -72,19 +72,19 @@
     """Time to the end of answered calls."""
     first_token: Samples = field(default_factory=Samples)
     between_tokens: Samples = field(default_factory=Samples)
-    """Gaps of streamed answers, each by itself."""
+    """Every single gap between tokens of streamed answers."""
     answered_keys: list[str] = field(default_factory=list)
     """Idempotency keys of the bookings that were answered."""
 
     def count(self, outcome: str) -> int:
-        """Return how many calls ended with this outcome."""
+        """Return the number of calls that ended with this outcome."""
         return sum(
             number for (_, name), number in self.outcomes.items() if name == outcome
         )
 
 
 class LoadDriver:
-    """Carries out a plan against a target and reports what came of it."""
+    """Makes the calls of a plan against a target and reports the results."""
 
     def __init__(self, target: LoadTarget, clock: Clock | None = None, seed: int = 0):
         self._target = target
@@ -95,11 +95,11 @@
 
     @property
     def report(self) -> LoadReport:
-        """Return the report, which grows while a plan is carried out."""
+        """Return the report, which is updated while a plan runs."""
         return self._report
 
     async def start(self) -> None:
-        """Make the HTTP client."""
+        """Create the HTTP client."""
         self._client = AsyncHTTPClient(force_instance=True, max_clients=MAX_CLIENTS)
 
     async def close(self) -> None:
@@ -118,7 +118,7 @@
         return self._report
 
     async def run_closed(self, plan: LoadPlan, callers: int) -> LoadReport:
-        """Make the calls of a plan by so many callers, each one call at a time."""
+        """Make the calls of a plan from `callers` callers, each one call at a time."""
         arrivals = plan_arrivals(plan, self._random)
 
         async def keep_calling() -> None:
@@ -131,9 +131,9 @@
         return self._report
 
     async def call(self, arrival: Arrival, repeats: int = 0) -> str:
-        """Make one call, and again while it isn't answered; returns its outcome."""
+        """Make one call with up to `repeats` retries; returns its last outcome."""
         while True:
-            outcome, retry_after = await self._try(arrival)
+            outcome, retry_after = await self._call_once(arrival)
             if outcome == "answered" or repeats <= 0:
                 break
             repeats -= 1
@@ -141,7 +141,7 @@
         self._report.outcomes[arrival.kind, outcome] += 1
         return outcome
 
-    async def _try(self, arrival: Arrival) -> tuple[str, float]:
+    async def _call_once(self, arrival: Arrival) -> tuple[str, float]:
         reader = _AnswerReader(arrival, self._clock, self._report)
         request = self._make_request(arrival, reader)
         assert self._client is not None
@@ -151,7 +151,7 @@
             self._report.statuses[0] += 1
             return "broken", 0.0
         self._report.statuses[response.code] += 1
-        outcome = reader.judge(response)
+        outcome = reader.classify(response)
         return outcome, float(response.headers.get("Retry-After", "0"))
 
     def _make_request(self, arrival: Arrival, reader: "_AnswerReader") -> HTTPRequest:
@@ -191,7 +191,7 @@
 
 
 class _AnswerReader:
-    """Takes in one answer, measures it and judges whether it is whole."""
+    """Receives one answer, measures it and checks that it is complete."""
 
     def __init__(self, arrival: Arrival, clock: Clock, report: LoadReport):
         self._arrival = arrival
@@ -204,7 +204,7 @@
         self._done = False
 
     def receive(self, data: bytes) -> None:
-        """Take in a part of a streamed answer."""
+        """Receive a chunk of a streamed answer."""
         *events, self._rest = (self._rest + data).split(b"\n\n")
         for event in events:
             if event + b"\n\n" == DONE:
@@ -215,13 +215,13 @@
                 self._texts.append(text)
                 self._note_token()
 
-    def judge(self, response: HTTPResponse) -> str:
-        """Return the outcome and note wrong answers and times."""
+    def classify(self, response: HTTPResponse) -> str:
+        """Return the outcome, and record wrong answers and times."""
         good = response.code < 300
         outcome = response.headers.get("Mustardquay-Outcome")
         if self._arrival.kind is CallKind.DRAFT and good and not self._done:
-            # The outcome's header went out before the answer; a stream without its
-            # end mark isn't passed off as whole.
+            # The outcome header was sent before the answer. Without `[DONE]`, the
+            # stream is not declared complete.
             return "broken"
         if outcome is None:
             outcome = "answered" if good else "refused"
--- a/packages/mustardquay-standins/src/mustardquay_standins/objects.py
+++ b/packages/mustardquay-standins/src/mustardquay_standins/objects.py
@@ -1,4 +1,4 @@
-"""Objects: a stand-in of the platform's object store, in memory."""
+"""Objects: a stand-in for the platform's object store, in memory."""
 
 import asyncio
 from dataclasses import dataclass
@@ -15,24 +15,25 @@
 
 @dataclass(slots=True)
 class ObjectFaults:
-    """Switches of the object store."""
+    """Fault switches of the object store."""
 
     down: bool = False
-    """Every call answers 503 and has no effect."""
+    """Every call is answered with 503 and has no effect."""
     slow: timedelta = timedelta()
-    """Wait before each call takes effect."""
+    """Delay before each call takes effect."""
     lose_answers: int = 0
-    """So many objects are stored, then their connection is closed."""
+    """Number of next writes that are stored but get no answer: their connection is
+    closed."""
 
 
 @dataclass(slots=True)
 class ObjectCounters:
-    """What the object store has seen."""
+    """Counters of the object store."""
 
     reads: int = 0
     writes: int = 0
     overwrites: int = 0
-    """Writes of another value under a name in use, which are refused."""
+    """Writes of a different value to an existing name, which are refused."""
 
 
 class ObjectStandin(StandinServer):
--- a/packages/mustardquay-standins/src/mustardquay_standins/platforms.py
+++ b/packages/mustardquay-standins/src/mustardquay_standins/platforms.py
@@ -1,4 +1,4 @@
-"""Platforms: all the platform's services in one process, for demos and tests."""
+"""Platforms: stand-ins for all platform services in one process."""
 
 import asyncio
 import signal
@@ -17,7 +17,7 @@
 
 
 class PlatformStandin:
-    """Table service, object store, weight store and instance list together."""
+    """The table service, object store, weight store and instance list."""
 
     def __init__(self, clock: Clock | None = None, seed: int = 0):
         self.tables = TableStandin(clock, seed)
@@ -28,13 +28,13 @@
     async def start(
         self, address: str = "127.0.0.1", ports: tuple[int, int, int, int] = (0,) * 4
     ) -> None:
-        """Listen; the ports are of tables, objects, weights and instances."""
+        """Listen on ports for tables, objects, weights and instances, in this order."""
         servers = (self.tables, self.objects, self.weights, self.instances)
         for server, port in zip(servers, ports, strict=True):
             await server.start(address, port)
 
     async def close(self) -> None:
-        """Close all four."""
+        """Close all four servers."""
         for server in (self.tables, self.objects, self.weights, self.instances):
             await server.close()
 
--- a/packages/mustardquay-standins/src/mustardquay_standins/rates.py
+++ b/packages/mustardquay-standins/src/mustardquay_standins/rates.py
@@ -1,4 +1,4 @@
-"""Rates: token buckets by which the platform's services limit their callers."""
+"""Rates: token buckets with which platform services limit the rate of calls."""
 
 from datetime import timedelta
 
@@ -8,7 +8,7 @@
 
 
 class RateLimit:
-    """A token bucket that holds one second's worth; a rate of 0 has no limit.
+    """A token bucket with a burst of one second; a rate of 0 means no limit.
 
     >>> from mustardquay import VirtualClock
     >>> limit = RateLimit(VirtualClock())
@@ -22,7 +22,7 @@
         self._filled_at = clock.monotonic()
 
     def take(self, rate: float) -> timedelta | None:
-        """Take one, at `rate` a second; returns how long to wait when empty."""
+        """Take one token at `rate` per second; returns the wait if there is none."""
         if rate <= 0:
             return None
         now = self._clock.monotonic()
--- a/packages/mustardquay-standins/src/mustardquay_standins/relays.py
+++ b/packages/mustardquay-standins/src/mustardquay_standins/relays.py
@@ -1,4 +1,4 @@
-"""Relays: a TCP relay that fails as a network does."""
+"""Relays: a TCP relay that simulates network failures."""
 
 import asyncio
 from dataclasses import dataclass
@@ -15,37 +15,37 @@
 
 @dataclass(slots=True)
 class RelayFaults:
-    """Switches of a relay; those of swallowing also hit open connections."""
+    """Fault switches of a relay; those of swallowing also affect open connections."""
 
     cut: bool = False
-    """New connections are closed, open ones at their next byte; set over HTTP, or
-    followed by `cut_connections`, also those that are idle."""
+    """New connections are closed, and open ones at their next byte. Idle ones are
+    closed too if it is set over HTTP or followed by `cut_connections`."""
     swallow_forward: bool = False
-    """Bytes towards the target vanish, while the connections stay open."""
+    """Bytes to the target are discarded, while the connections stay open."""
     swallow_back: bool = False
-    """Bytes from the target vanish, while the connections stay open."""
+    """Bytes from the target are discarded, while the connections stay open."""
     delay: timedelta = timedelta()
-    """Wait before each chunk is passed on, in either direction."""
+    """Delay before each chunk is forwarded, in either direction."""
 
 
 @dataclass(slots=True)
 class RelayCounters:
-    """What a relay has seen."""
+    """Counters of a relay."""
 
     connections: int = 0
     forwarded: int = 0
-    """Bytes passed on in either direction."""
+    """Bytes forwarded in either direction."""
     swallowed: int = 0
 
 
 @dataclass(eq=False, slots=True)
 class _Connection:
     writers: tuple[asyncio.StreamWriter, asyncio.StreamWriter]
-    forgotten: bool = False
+    blackholed: bool = False
 
 
 class RelayStandin:
-    """Passes on TCP connections to one target, with switches between the ends."""
+    """Forwards TCP connections to one target, with faults on request."""
 
     def __init__(
         self,
@@ -68,7 +68,7 @@
 
     @property
     def address(self) -> str:
-        """Return the IP number that the relay listens on."""
+        """Return the IP address that the relay listens on."""
         return self._address
 
     @property
@@ -78,21 +78,21 @@
 
     @property
     def url(self) -> str:
-        """Return the base URL of a target that speaks HTTP."""
+        """Return the base URL of the relay, for an HTTP target."""
         return f"http://{self._address}:{self._port}"
 
     @property
     def control_url(self) -> str:
-        """Return the base URL of `/faults`, once `start_control` was called."""
+        """Return the base URL of `/faults`, "" before `start_control`."""
         return self._control.url if self._control else ""
 
     async def start(self, address: str = "127.0.0.1", port: int = 0) -> None:
-        """Listen; port 0 stands for any free one."""
+        """Listen; port 0 selects a free port."""
         self._server = await asyncio.start_server(self._accept, address, port)
         self._address, self._port = self._server.sockets[0].getsockname()[:2]
 
     async def start_control(self, address: str = "127.0.0.1", port: int = 0) -> None:
-        """Offer `/faults` on a port of its own, for other processes."""
+        """Serve `/faults` on a separate port, for other processes."""
         self._control = _RelayControl(self, *self._control_arguments)
         await self._control.start(address, port)
 
@@ -108,7 +108,7 @@
         await asyncio.gather(*self._tasks, return_exceptions=True)
 
     def cut_connections(self) -> None:
-        """Close every open connection once; new ones are accepted."""
+        """Close every open connection; new ones are accepted."""
         for connection in list(self._connections):
             for writer in connection.writers:
                 writer.transport.abort()
@@ -116,7 +116,7 @@
     def set_down(self, down: bool) -> None:
         """Close the listener, or open it again on the same port.
 
-        Connections are then refused, as they are where no process listens.
+        While it is closed, connections are refused, as when no process listens.
         """
         if down and self._server is not None:
             self._server.close()
@@ -128,9 +128,9 @@
             )
 
     def forget(self) -> None:
-        """Have every open connection go silent for good, while new ones work."""
+        """Discard all further data of open connections; new connections work."""
         for connection in self._connections:
-            connection.forgotten = True
+            connection.blackholed = True
 
     async def _accept(
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
@@ -179,7 +179,7 @@
                 raise ConnectionResetError
             if self.faults.delay:
                 await asyncio.sleep(self.faults.delay.total_seconds())
-            if connection.forgotten or getattr(self.faults, switch):
+            if connection.blackholed or getattr(self.faults, switch):
                 self.counters.swallowed += len(data)
                 if not data:
                     return
--- a/packages/mustardquay-standins/src/mustardquay_standins/samples.py
+++ b/packages/mustardquay-standins/src/mustardquay_standins/samples.py
@@ -1,4 +1,4 @@
-"""Samples: measured values with exact quantiles, for runs of bounded length."""
+"""Samples: measured values with exact quantiles, for runs of limited length."""
 
 from array import array
 
@@ -20,7 +20,7 @@
 
     @property
     def count(self) -> int:
-        """Return how many values there are."""
+        """Return the number of values."""
         return len(self._values)
 
     @property
@@ -29,7 +29,7 @@
         return sum(self._values) / len(self._values) if self._values else 0.0
 
     def add(self, value: float) -> None:
-        """Keep a value."""
+        """Add a value."""
         self._values.append(value)
 
     def find_quantile(self, quantile: float) -> float:
--- a/packages/mustardquay-standins/src/mustardquay_standins/servers.py
+++ b/packages/mustardquay-standins/src/mustardquay_standins/servers.py
@@ -1,8 +1,8 @@
-"""Servers: what the HTTP stand-ins have in common, on tornado's server.
+"""Servers: the base of the HTTP stand-ins, on tornado's server.
 
-Each stand-in has two dataclasses of state: `faults`, the switches that a test or
-a demo sets, and `counters`, what it has seen. Both are also reached over HTTP, as
-`GET` and `POST /faults` (JSON, durations in seconds) and `GET /counters`.
+Each stand-in has two dataclasses: `faults`, the switches that a test or a demo sets,
+and `counters`. Both are also available over HTTP, as `GET` and `POST /faults` (JSON,
+durations in seconds) and `GET /counters`.
 """
 
 import asyncio
@@ -40,7 +40,7 @@
 
 
 class Call:
-    """One HTTP request to a stand-in, and the means to answer or to drop it."""
+    """One HTTP request to a stand-in, with methods to answer or to drop it."""
 
     def __init__(self, request: HTTPServerRequest):
         self._request = request
@@ -69,12 +69,12 @@
 
     @property
     def done(self) -> bool:
-        """Return whether the call was answered, dropped or left by its caller."""
+        """Return whether the call was answered or dropped, or its caller left."""
         stream = self._connection.stream
         return self._done or stream is None or stream.closed()
 
     def get_argument(self, name: str, default: str) -> str:
-        """Return an argument of the query."""
+        """Return a query argument."""
         values = self._request.query_arguments.get(name)
         return values[-1].decode() if values else default
 
@@ -83,13 +83,13 @@
         return orjson.loads(self.body)
 
     def on_close(self, callback: Callable[[], None]) -> None:
-        """Have `callback` called when the caller goes away."""
+        """Call `callback` when the caller disconnects."""
         self._connection.set_close_callback(callback)
 
     def answer(
         self, status: int, body: Any = None, headers: Mapping[str, str] | None = None
     ) -> None:
-        """Answer with a JSON body, or with none."""
+        """Answer with a JSON body, or with an empty body."""
         data = b"" if body is None else orjson.dumps(body)
         self.answer_bytes(status, data, "application/json", headers)
 
@@ -100,7 +100,7 @@
         content_type: str = "application/octet-stream",
         headers: Mapping[str, str] | None = None,
     ) -> None:
-        """Answer with a body of bytes; does nothing when the caller has gone."""
+        """Answer with a body of bytes; does nothing if the caller has disconnected."""
         if self.done:
             return
         lines = HTTPHeaders({"Content-Type": content_type})
@@ -115,14 +115,14 @@
         """Begin an answer of unknown length."""
         if self.done:
             return
-        # Without this, Nagle's algorithm and delayed acknowledgements hold single
-        # tokens back for some 40 ms.
+        # Without this, Nagle's algorithm and delayed acknowledgements delay single
+        # tokens by about 40 ms.
         self._connection.stream.set_nodelay(True)
         lines = HTTPHeaders({"Content-Type": content_type, "Cache-Control": "no-cache"})
         self._connection.write_headers(ResponseStartLine("", 200, "OK"), lines)
 
     def write(self, data: bytes) -> Awaitable[None] | None:
-        """Send a part of a streamed answer; None when the caller has gone."""
+        """Send a chunk of a streamed answer; None if the caller has disconnected."""
         if self.done:
             return None
         return self._connection.write(data)
@@ -134,7 +134,7 @@
             self._connection.finish()
 
     def drop(self) -> None:
-        """Close the connection without a further byte."""
+        """Close the connection without sending anything more."""
         if not self.done:
             self._done = True
             self._connection.detach().close()
@@ -142,7 +142,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Route:
-    """A method and the head of a path; "" stands for any method."""
+    """A method and a path prefix with their handler; "" matches any method."""
 
     method: str
     prefix: str
@@ -156,7 +156,7 @@
 
 
 class StandinServer:
-    """An HTTP server whose calls can be failed by switches."""
+    """An HTTP server with fault injection."""
 
     def __init__(
         self, faults: Any, counters: Any, clock: Clock | None = None, seed: int = 0
@@ -178,12 +178,12 @@
 
     @property
     def address(self) -> str:
-        """Return the IP number that the server listens on."""
+        """Return the IP address that the server listens on."""
         return self._address
 
     @property
     def port(self) -> int:
-        """Return the port, which stays the same over a stop and a new start."""
+        """Return the port, which a restart after a crash keeps."""
         return self._port
 
     @property
@@ -196,13 +196,13 @@
         return ()
 
     async def start(self, address: str = "127.0.0.1", port: int = 0) -> None:
-        """Listen; port 0 stands for any free one."""
+        """Listen; port 0 selects a free port."""
         self._address = address
         self._listen(port)
 
     async def close(self) -> None:
-        """Stop listening and cut what still runs."""
-        self._cut()
+        """Stop listening, close connections and cancel running calls."""
+        self._disconnect()
         for task in list(self._tasks):
             task.cancel()
         await asyncio.gather(*self._tasks, return_exceptions=True)
@@ -222,7 +222,7 @@
         self._server = HTTPServer(self._receive, max_buffer_size=BODY_LIMIT)
         self._server.add_sockets(sockets)
 
-    def _cut(self) -> None:
+    def _disconnect(self) -> None:
         if self._server is None:
             return
         self._server.stop()
@@ -265,7 +265,7 @@
 
 
 def dump_json(value: Any) -> bytes:
-    """Return JSON of a dataclass; durations become seconds."""
+    """Return the JSON of a dataclass; durations become seconds."""
     return orjson.dumps(
         value,
         default=_convert,
--- a/packages/mustardquay-standins/src/mustardquay_standins/services.py
+++ b/packages/mustardquay-standins/src/mustardquay_standins/services.py
@@ -1,4 +1,4 @@
-"""Services: a stand-in of a plain service that counts what it has carried out."""
+"""Services: a stand-in for a plain service that counts its executions."""
 
 import asyncio
 from collections import Counter
@@ -18,30 +18,31 @@
 
 @dataclass(slots=True)
 class ServiceFaults:
-    """Switches of a plain service."""
+    """Fault switches of a plain service."""
 
     slow: timedelta = timedelta()
-    """Wait before each call is carried out."""
+    """Delay before each call is executed."""
     drop_answers: int = 0
-    """So many calls are carried out, then their connection is closed."""
+    """Number of next calls that are executed but get no answer: their connection is
+    closed."""
     frozen: bool = False
-    """Calls are carried out but get no answer until the switch is off."""
+    """Calls are executed but not answered until the switch is off."""
     refuse: bool = False
-    """Every call answers 503 and is not carried out."""
+    """Every call is answered with 503 and not executed."""
     crash_marker: str = ""
-    """A body with this text stops the service, which comes back later."""
+    """A body with this text crashes the service, which then restarts."""
 
 
 @dataclass(slots=True)
 class ServiceCounters:
-    """What a plain service has carried out; it has no memory of keys itself."""
+    """Counters of a plain service, which doesn't deduplicate calls by key itself."""
 
     by_key: Counter[str] = field(default_factory=Counter)
     """Executions by idempotency key."""
     by_body: Counter[str] = field(default_factory=Counter)
     """Executions of alerts and bookings by xxh64 of the body, in hex."""
     executions: int = 0
-    """Alerts and bookings that were carried out."""
+    """Alerts and bookings that were executed."""
     enquiries: int = 0
     running: int = 0
     highest_running: int = 0
@@ -49,7 +50,7 @@
 
 
 class ServiceStandin(StandinServer):
-    """A plain service: alerts, bookings and free hours; echoes all else."""
+    """A plain service: alerts, bookings and free hours; echoes other calls."""
 
     faults: ServiceFaults
     counters: ServiceCounters
@@ -73,10 +74,10 @@
         )
 
     async def crash(self) -> None:
-        """Drop every connection, stop listening and come back."""
+        """Drop every connection, stop listening and restart."""
         self.counters.crashes += 1
         port = self.port
-        self._cut()
+        self._disconnect()
         await asyncio.sleep(self._restart_time.total_seconds())
         self._listen(port)
 
--- a/packages/mustardquay-standins/src/mustardquay_standins/sites.py
+++ b/packages/mustardquay-standins/src/mustardquay_standins/sites.py
@@ -1,7 +1,7 @@
-"""Sites: a whole small site in one process, with stand-ins for what is outside.
+"""Sites: a small site in one process, with stand-ins for the platform and upstreams.
 
-The INI files are those of `examples/`; only ports, and the URLs of the platform and
-the upstreams, are those that the stand-ins got.
+The INI files are those of `examples/`; only the ports and the URLs of the platform and
+the upstreams are replaced by those of the stand-ins.
 """
 
 import asyncio
@@ -38,9 +38,9 @@
 EXAMPLES = Path(__file__).resolve().parents[4] / "examples"
 SITE_NAMES = ("strassenmeldung", "syndesmos")
 MODEL_VERSION = "1"
-READY_LIMIT = 20.0
-"""Seconds until everything must be ready."""
-POLL = 0.02
+READY_TIMEOUT = 20.0
+"""Seconds within which everything must be ready."""
+POLL_INTERVAL = 0.02
 
 Sections = dict[str, dict[str, str]]
 
@@ -59,10 +59,10 @@
     ):
         """Read the example.
 
-        `overrides` are settings for every process; with `relayed` the links go
-        through relays, by agent in `relays`, that can fail as a network does.
+        `overrides` are settings for every process. With `relayed`, links go through
+        relays that can simulate network failures; `relays` has them by agent.
         `lateness` replaces that of every contract, so that a test which does not
-        measure time has the same verdict on a busy machine.
+        measure time has the same result on a busy machine.
         """
         self._folder = EXAMPLES / name
         self._seed = seed
@@ -86,18 +86,18 @@
 
     @property
     def customer(self) -> ContractDocument:
-        """Return the contract that allows most: models and services."""
+        """Return the broadest contract: one with services, and the largest share."""
         return max(self.contracts, key=lambda item: (bool(item.services), item.share))
 
     @property
     def admin_urls(self) -> list[str]:
-        """Return the admin ports of all processes, those of entries first."""
+        """Return the admin URLs of all processes, those of entries first."""
         nodes = (*self.entries.values(), *self.agents.values())
         return [f"http://127.0.0.1:{node.admin_port}" for node in nodes]
 
     @property
     def operator_key(self) -> str:
-        """Return a key that the admin ports take."""
+        """Return a key that the admin ports accept."""
         sections = _read_sections(*self._list_files()[0])
         return sections[sections["node"]["kind"]]["operator_keys"].split()[0]
 
@@ -120,7 +120,7 @@
         }
 
     async def start(self) -> None:
-        """Start the stand-ins, the agents and the entries, and apply contracts."""
+        """Start the stand-ins, agents and entries, and apply the contracts."""
         await self.platform.start()
         processes = self._read_processes()
         for sections in processes:
@@ -134,7 +134,7 @@
         await self._apply_contracts()
 
     async def close(self) -> None:
-        """Stop gracefully: first the entries, then the agents and stand-ins."""
+        """Stop gracefully: first the entries, then the agents and the stand-ins."""
         await asyncio.gather(*(entry.close() for entry in self.entries.values()))
         await asyncio.gather(*(agent.close() for agent in self.agents.values()))
         for relay in self.relays.values():
@@ -145,12 +145,12 @@
 
     async def wait_until_ready(self) -> None:
         """Wait until every agent is ready and every entry reaches all of them."""
-        async with asyncio.timeout(READY_LIMIT):
+        async with asyncio.timeout(READY_TIMEOUT):
             while not self._is_ready():
-                await asyncio.sleep(POLL)
+                await asyncio.sleep(POLL_INTERVAL)
 
     def list_instances(self) -> None:
-        """Tell the instance list of every process that runs."""
+        """Replace the instance list by the processes that are running."""
         lines = [
             Instance(
                 name,
@@ -253,9 +253,9 @@
         edit = Edit(uuid4().hex, "site", tuple(amendments))
         entry = next(iter(self.entries.values()))
         version = await entry.apply_edit(edit)
-        async with asyncio.timeout(READY_LIMIT):
+        async with asyncio.timeout(READY_TIMEOUT):
             while not self._is_in_force(version):
-                await asyncio.sleep(POLL)
+                await asyncio.sleep(POLL_INTERVAL)
 
     def _is_in_force(self, version: int) -> bool:
         nodes = (*self.entries.values(), *self.agents.values())
@@ -296,7 +296,7 @@
     site: Annotated[str, typer.Option(help=f"One of {', '.join(SITE_NAMES)}.")],
     seed: int = 0,
 ) -> None:
-    """Run a site until SIGTERM or SIGINT, then finish the running work and stop."""
+    """Run a site until SIGTERM or SIGINT, then stop gracefully."""
     asyncio.run(_run(site, seed))
 
 
--- a/packages/mustardquay-standins/src/mustardquay_standins/stacks.py
+++ b/packages/mustardquay-standins/src/mustardquay_standins/stacks.py
@@ -1,4 +1,4 @@
-"""Stacks: one entry, one agent and all they need, as separate processes."""
+"""Stacks: one entry, one agent and the stand-ins they need, as separate processes."""
 
 import asyncio
 import socket
@@ -20,24 +20,24 @@
 CUSTOMER_KEY = "benchmark-customer-key"
 MODEL = "model"
 SERVICE = "bookings"
-READY_LIMIT = 20.0
-POLL = 0.05
+READY_TIMEOUT = 20.0
+POLL_INTERVAL = 0.05
 NODE_MODULE = "mustardquay_node.programs"
 
 
 @dataclass(frozen=True, slots=True)
 class StackOptions:
-    """What a benchmark may vary."""
+    """Options that a benchmark can set."""
 
     token_gap: float = 0.002
     concurrency: int = 256
     log_level: str = "info"
     profiles: dict[str, str] = field(default_factory=dict)
-    """File for cProfile's figures, by `entry`, `agent` or `proxy`."""
+    """Output file of cProfile, by `entry`, `agent` or `proxy`."""
 
 
 class Stack:
-    """The processes of one run; `children` has them by name."""
+    """The processes of one run; `children` holds them by name."""
 
     def __init__(self, options: StackOptions | None = None):
         self._options = options or StackOptions()
@@ -65,11 +65,11 @@
 
     @property
     def engine_target(self) -> LoadTarget:
-        """Return the engine as a target, with nothing between."""
+        """Return the engine as a target, without a proxy."""
         return LoadTarget([self.children["engine"].get_word("url")], MODEL)
 
     async def start(self) -> None:
-        """Start everything and wait until requests can be served."""
+        """Start all processes and wait until requests are served."""
         options = self._options
         self.children["platform"] = await start_child("mustardquay_standins.platforms")
         self.children["engine"] = await start_child(
@@ -90,7 +90,7 @@
         await self._wait_until_served()
 
     async def close(self) -> None:
-        """Stop everything, callers' side first."""
+        """Stop all processes, in the order of a request's path."""
         for name in ("entry", "agent", "proxy", "engine", "platform"):
             if name in self.children:
                 await self.children[name].stop()
@@ -138,21 +138,21 @@
         _fetch("PUT", url, {"instances": instances})
 
     async def _wait_until_ready(self) -> None:
-        async with asyncio.timeout(READY_LIMIT):
+        async with asyncio.timeout(READY_TIMEOUT):
             while not self._is_reached("/readyz"):
-                await asyncio.sleep(POLL)
+                await asyncio.sleep(POLL_INTERVAL)
 
     async def _wait_until_served(self) -> None:
         target = self.path_target
         body = {"model": MODEL, "prompt": "ready?", "max_tokens": 1}
         url = target.urls[0] + "/v1/completions"
-        async with asyncio.timeout(READY_LIMIT):
+        async with asyncio.timeout(READY_TIMEOUT):
             while True:
                 try:
                     _fetch("POST", url, body, CUSTOMER_KEY)
                     return
                 except OSError:
-                    await asyncio.sleep(POLL)
+                    await asyncio.sleep(POLL_INTERVAL)
 
     def _is_reached(self, path: str) -> bool:
         try:
--- a/packages/mustardquay-standins/src/mustardquay_standins/states.py
+++ b/packages/mustardquay-standins/src/mustardquay_standins/states.py
@@ -1,4 +1,4 @@
-"""States: what an engine stand-in really is, and the orders that change it."""
+"""States: the state of an engine stand-in, and the orders that change it."""
 
 import asyncio
 from collections.abc import Awaitable, Callable
@@ -14,37 +14,37 @@
 __all__ = ["EngineOrders", "OrderCounters", "Substance"]
 
 Change = Callable[[], Awaitable[None]]
-LOAD_RETRY = 0.2
-"""Seconds until the weight store is asked again without a `Retry-After`."""
+LOAD_RETRY_DELAY = 0.2
+"""Seconds between attempts to load weights, where there is no `Retry-After`."""
 
 
 @dataclass(frozen=True, slots=True)
 class Substance:
-    """What an engine is apart from numbers: its role, models and adapters."""
+    """The role of an engine, and the models and adapters that it has loaded."""
 
     role: Role = Role.MIXED
     models: dict[str, str] = field(default_factory=lambda: {"model": "1"})
-    """Version by name of model."""
+    """Version by model name."""
     adapters: tuple[str, ...] = ()
 
 
 @dataclass(slots=True)
 class OrderCounters:
-    """The orders that an engine has received."""
+    """Counters of the orders that an engine has received."""
 
     accepted: int = 0
     conflicting: int = 0
-    """Received while another order was carried out."""
+    """Received while another order was being executed."""
     stale: int = 0
-    """Received with a fencing number under the highest seen."""
+    """Received with a fencing number below the highest seen."""
     stale_applied: int = 0
-    """Those of them that were carried out, by an engine that ignores fences."""
+    """Stale orders that were executed, by an engine that ignores fences."""
     highest_fence: int = 0
-    """Over all boots, as an observer sees it."""
+    """Over all boots, also if the engine itself has lost it in a crash."""
 
 
 class EngineOrders:
-    """The real state of one engine, changed by one order at a time."""
+    """The state of one engine, changed by one order at a time."""
 
     def __init__(
         self,
@@ -52,13 +52,13 @@
         counters: OrderCounters,
         change_time: timedelta,
         weights_url: str,
-        cut: Callable[[], None],
+        interrupt: Callable[[], None],
     ):
         self._substance = substance
         self._counters = counters
         self._change_time = change_time
         self._weights_url = weights_url
-        self._cut = cut
+        self._interrupt = interrupt
         self._fence = 0
         self._generation = 0
         self._boot = 1
@@ -67,7 +67,7 @@
 
     @property
     def substance(self) -> Substance:
-        """Return what the engine is now."""
+        """Return the role, models and adapters of the engine."""
         return self._substance
 
     @property
@@ -77,21 +77,21 @@
 
     @property
     def generation(self) -> int:
-        """Return the generation of the last order that was done, or 0."""
+        """Return the generation of the last completed order, or 0."""
         return self._generation
 
     @property
     def changing(self) -> bool:
-        """Return whether an order is being carried out."""
+        """Return whether an order is being executed."""
         return self._changing
 
     @property
     def away(self) -> bool:
-        """Return whether a change keeps the engine from generating."""
+        """Return whether an order keeps the engine from generating."""
         return self._away
 
     def show(self) -> dict[str, Any]:
-        """Return the state as `GET /state` answers it."""
+        """Return the body of `GET /state`."""
         return {
             "boot": self._boot,
             "fence": self._fence,
@@ -103,7 +103,7 @@
         }
 
     def check_model(self, model: str, adapter: str) -> str:
-        """Return why a request can't be run here, or an empty string."""
+        """Return why the engine can't run a request, or an empty string."""
         if model not in self._substance.models:
             if model not in self._substance.adapters:
                 return f"model {model} is not loaded"
@@ -114,7 +114,7 @@
     def receive(
         self, order: dict[str, Any], ignore_fences: bool
     ) -> tuple[int, dict[str, Any], Change | None]:
-        """Accept or refuse an order; returns status, body and what carries it out."""
+        """Accept or refuse an order; returns status, body and the work to execute."""
         fence, generation = int(order["fence"]), int(order["generation"])
         wanted = Substance(
             Role(order["role"]), dict(order["models"]), tuple(order["adapters"])
@@ -137,7 +137,7 @@
         return 202, {}, lambda: self._carry_out(wanted, generation, boot)
 
     def crash(self, random: Random, forget_fence: bool) -> None:
-        """Begin a new boot, with some of the models and adapters lost."""
+        """Begin a new boot; some of the models and all adapters are lost."""
         self._boot += 1
         self._generation = 0
         self._changing = False
@@ -155,7 +155,7 @@
         present = self._substance
         if (wanted.role, wanted.models) != (present.role, present.models):
             self._away = True
-            self._cut()
+            self._interrupt()
         for name, version in wanted.models.items():
             if present.models.get(name) != version:
                 await self._load_weights(name, version)
@@ -175,7 +175,7 @@
                 return
             except HTTPError as error:
                 headers = error.response.headers if error.response else {}
-                wait = float(headers.get("Retry-After", LOAD_RETRY))
+                wait = float(headers.get("Retry-After", LOAD_RETRY_DELAY))
             except OSError:
-                wait = LOAD_RETRY
+                wait = LOAD_RETRY_DELAY
             await asyncio.sleep(wait)
--- a/packages/mustardquay-standins/src/mustardquay_standins/stores.py
+++ b/packages/mustardquay-standins/src/mustardquay_standins/stores.py
@@ -1,7 +1,7 @@
 """Stores: table service, object store and engine orders without sockets.
 
-They have the interfaces that the node's HTTP clients have, so that tests on a
-virtual clock and benchmarks of many instances in one process can do without HTTP.
+They have the interfaces of the node's HTTP clients, so that tests on a virtual clock
+and benchmarks of many instances in one process don't need HTTP.
 """
 
 from dataclasses import dataclass, replace
@@ -20,7 +20,7 @@
 
 @dataclass(slots=True)
 class StoreCounters:
-    """Calls that reached the store, the refused ones too."""
+    """Calls that reached the store, including refused ones."""
 
     reads: int = 0
     writes: int = 0
@@ -28,19 +28,19 @@
 
 
 class LocalTables:
-    """The table service; several share their rows through `tables`."""
+    """The table service; several clients can share the rows of one `tables`."""
 
     def __init__(self, tables: Tables | None = None):
         self.tables = tables or Tables()
         self.counters = StoreCounters()
         self.era = 0
-        """Told by platforms whose store may come back from a copy."""
+        """Era of the store; platforms that may restore it from a copy report one."""
         self.down = False
         """Every call is refused and has no effect."""
         self.lose_answers = 0
-        """So many transactions are applied and their answers lost."""
+        """Number of next transactions that are applied but whose answers are lost."""
         self.lose_calls = 0
-        """So many transactions are lost before they have an effect."""
+        """Number of next transactions that are lost before they take effect."""
 
     async def transact(self, transaction: Transaction) -> Committed | Conflict:
         """Apply all the writes if all the conditions hold."""
@@ -66,7 +66,7 @@
     async def scan(
         self, table: str, after: str = "", limit: int = 1000
     ) -> tuple[Row, ...]:
-        """Return rows whose key sorts behind `after`, in the order of keys."""
+        """Return the rows whose keys sort after `after`, in the order of keys."""
         self.counters.reads += 1
         self._check()
         return self.tables.scan(table, after, limit)
@@ -99,10 +99,10 @@
 
 
 class LocalEngine:
-    """The control side of an engine, which carries out each order in `duration`.
+    """The control interface of an engine, which executes each order in `duration`.
 
-    `conflicts` counts the orders that came while another was carried out or with
-    a lower fencing number than one before, whether or not it refused them.
+    `conflicts` counts the orders that arrived while another was being executed or with
+    a lower fencing number than an earlier one, whether or not they were refused.
     """
 
     def __init__(
@@ -132,7 +132,7 @@
         """Do nothing."""
 
     async def read_state(self) -> EngineState | None:
-        """Return what the engine is."""
+        """Return the state of the engine, or None while it is down."""
         if self.down:
             return None
         self._advance()
@@ -147,7 +147,7 @@
         )
 
     async def send_order(self, order: Order, timeout: timedelta) -> OrderResult:
-        """Take an order."""
+        """Accept or refuse an order."""
         if self.down:
             return OrderResult.LOST
         self._advance()
@@ -164,7 +164,7 @@
         return OrderResult.ACCEPTED
 
     def crash(self, desired: Desired) -> None:
-        """Come back as `desired`, in the middle of whatever was under way."""
+        """Restart with the state `desired`; an order in progress is lost."""
         self._boot += 1
         self._generation = 0
         self._order = None
--- a/packages/mustardquay-standins/src/mustardquay_standins/tables.py
+++ b/packages/mustardquay-standins/src/mustardquay_standins/tables.py
@@ -1,4 +1,4 @@
-"""Tables: a stand-in of the platform's transactional table service, in memory."""
+"""Tables: a stand-in for the platform's transactional table service, in memory."""
 
 import asyncio
 from bisect import bisect_right, insort
@@ -16,7 +16,7 @@
 
 
 class Tables:
-    """The rows, with transactions that are applied whole or not at all.
+    """The rows, with atomic transactions.
 
     >>> tables = Tables()
     >>> tables.apply(Transaction(writes=(Write("t", "k", {"n": 1}),)))
@@ -34,7 +34,7 @@
         return self._tables.get(table, {}).get(key)
 
     def scan(self, table: str, after: str = "", limit: int = 1000) -> tuple[Row, ...]:
-        """Return rows whose key sorts behind `after`, in the order of keys."""
+        """Return the rows whose keys sort after `after`, in the order of keys."""
         keys = self._keys.get(table, [])
         start = bisect_right(keys, after) if after else 0
         rows = self._tables.get(table, {})
@@ -46,7 +46,9 @@
             (condition, self.read(condition.table, condition.key))
             for condition in transaction.conditions
         ]
-        failed = tuple(row for condition, row in present if not _holds(condition, row))
+        failed = tuple(
+            row for condition, row in present if not _is_satisfied(condition, row)
+        )
         if failed:
             return Conflict(failed)
         return Committed(tuple(self._write(write) for write in transaction.writes))
@@ -68,35 +70,36 @@
 
 @dataclass(slots=True)
 class TableFaults:
-    """Switches of the table service."""
+    """Fault switches of the table service."""
 
     down: bool = False
-    """Every call answers 503 and has no effect."""
+    """Every call is answered with 503 and has no effect."""
     frozen: bool = False
-    """Every call hangs, without effect, until the switch is off; then goes on."""
+    """Every call blocks, without effect, until the switch is off, then proceeds."""
     slow: timedelta = timedelta()
-    """Wait before each call takes effect."""
+    """Delay before each call takes effect."""
     lose_answers: int = 0
-    """So many transactions are applied, then their connection is closed."""
+    """Number of next transactions that are executed but get no answer: their
+    connection is closed."""
     read_rate: float = 2000.0
-    """Reads and scans a second; 0 for no limit."""
+    """Reads and scans per second; 0 for no limit."""
     write_rate: float = 400.0
-    """Transactions a second; 0 for no limit."""
+    """Transactions per second; 0 for no limit."""
 
 
 @dataclass(slots=True)
 class TableCounters:
-    """What the table service has seen."""
+    """Counters of the table service."""
 
     reads: int = 0
-    """Reads and scans that were carried out."""
+    """Reads and scans that were executed."""
     writes: int = 0
     """Transactions that were applied."""
     conflicts: int = 0
-    """Transactions of which a condition failed."""
+    """Transactions with a failed condition."""
     rows_written: int = 0
     limited: int = 0
-    """Calls answered 429."""
+    """Calls answered with 429."""
     lost_answers: int = 0
 
 
@@ -153,7 +156,7 @@
         elif isinstance(result, Committed):
             call.answer(200, {"revisions": result.revisions})
         else:
-            call.answer(409, {"error": "conflict", "rows": _show_rows(result.rows)})
+            call.answer(409, {"error": "conflict", "rows": _describe_rows(result.rows)})
 
     async def _read(self, call: Call) -> None:
         body = call.parse()
@@ -162,7 +165,7 @@
             return
         self.counters.reads += 1
         row = self.tables.read(table, key)
-        call.answer(200, {"row": _show_rows((row,))[0]})
+        call.answer(200, {"row": _describe_rows((row,))[0]})
 
     async def _scan(self, call: Call) -> None:
         body = call.parse()
@@ -171,10 +174,12 @@
         if not await self._admit(call, self._reads, self.faults.read_rate):
             return
         self.counters.reads += 1
-        call.answer(200, {"rows": _show_rows(self.tables.scan(table, after, limit))})
+        call.answer(
+            200, {"rows": _describe_rows(self.tables.scan(table, after, limit))}
+        )
 
 
-def _holds(condition: Condition, row: Row | None) -> bool:
+def _is_satisfied(condition: Condition, row: Row | None) -> bool:
     return condition.revision == (row.revision if row else 0)
 
 
@@ -185,5 +190,5 @@
     )
 
 
-def _show_rows(rows: tuple[Row | None, ...]) -> list[dict[str, Any] | None]:
+def _describe_rows(rows: tuple[Row | None, ...]) -> list[dict[str, Any] | None]:
     return [asdict(row) if row else None for row in rows]
--- a/packages/mustardquay-standins/src/mustardquay_standins/upstreams.py
+++ b/packages/mustardquay-standins/src/mustardquay_standins/upstreams.py
@@ -1,4 +1,4 @@
-"""Upstreams: one engine or plain service in a process of its own."""
+"""Upstreams: one engine or plain service in a separate process."""
 
 import asyncio
 from datetime import timedelta
@@ -28,12 +28,12 @@
     port: int = 0,
     seed: int = 0,
     model: Annotated[str, typer.Option(help="Name of the loaded model.")] = "model",
-    token_gap: Annotated[float, typer.Option(help="Seconds a token.")] = 0.002,
-    prefill_rate: Annotated[float, typer.Option(help="Tokens a second.")] = 200_000.0,
-    concurrency: Annotated[int, typer.Option(help="Requests at once.")] = 256,
+    token_gap: Annotated[float, typer.Option(help="Seconds per token.")] = 0.002,
+    prefill_rate: Annotated[float, typer.Option(help="Tokens per second.")] = 200_000.0,
+    concurrency: Annotated[int, typer.Option(help="Concurrent requests.")] = 256,
     weights: Annotated[str, typer.Option(help="URL of the weight store.")] = "",
 ) -> None:
-    """Run the stand-in of one upstream until SIGTERM or SIGINT."""
+    """Run the stand-in for one upstream until SIGTERM or SIGINT."""
     upstream: StandinServer
     if kind == "engine":
         upstream = EngineStandin(
--- a/packages/mustardquay-standins/src/mustardquay_standins/virtual_loops.py
+++ b/packages/mustardquay-standins/src/mustardquay_standins/virtual_loops.py
@@ -1,4 +1,4 @@
-"""Virtual loops: an asyncio loop and a clock that never wait, for tests."""
+"""Virtual loops: an asyncio event loop and clock in virtual time, for tests."""
 
 import asyncio
 from datetime import UTC, datetime, timedelta
@@ -9,10 +9,10 @@
 
 
 class VirtualLoop(asyncio.SelectorEventLoop):
-    """An event loop whose time jumps to the next timer when nothing is ready.
+    """An event loop whose time advances to the next timer when nothing is ready.
 
-    For work without sockets: it raises `RuntimeError` when nothing is left that
-    could wake it.
+    It supports work without sockets only: when nothing is ready and no timer is
+    pending, it raises `RuntimeError`.
     """
 
     def __init__(self) -> None:
@@ -27,7 +27,7 @@
         if not self._ready:
             timers = [timer for timer in self._scheduled if not timer.cancelled()]
             if not timers:
-                raise RuntimeError("Nothing is left that could wake the loop.")
+                raise RuntimeError("Nothing is ready and no timer is pending.")
             self._elapsed = max(self._elapsed, min(timers).when())
         super()._run_once()
 
@@ -39,7 +39,7 @@
         self._loop = loop
 
     def now(self) -> datetime:
-        """Return a fixed start plus the loop's time."""
+        """Return a fixed start time plus the loop's time."""
         return START + self.monotonic()
 
     def monotonic(self) -> timedelta:
--- a/packages/mustardquay-standins/src/mustardquay_standins/watches.py
+++ b/packages/mustardquay-standins/src/mustardquay_standins/watches.py
@@ -1,4 +1,4 @@
-"""Watches: requests that a test follows while something fails."""
+"""Watches: requests that a test starts, follows through a fault and checks."""
 
 import asyncio
 from collections.abc import Callable
@@ -19,21 +19,21 @@
 ]
 
 TOKENS = 150
-LIMIT = 30.0
+TEST_TIMEOUT = 30.0
 """Seconds after which a test that waits has failed."""
 
 
 @dataclass(slots=True)
 class WatchedStream:
-    """A streamed draft under way, and the upstream that gives it."""
+    """A streamed answer in progress, and the upstream that generates it."""
 
     prompt: str
     upstream: str
     task: "asyncio.Task[Answer]"
 
     async def check_whole(self) -> Answer:
-        """Check that the caller got each token once, and return the answer."""
-        async with asyncio.timeout(LIMIT):
+        """Check that the caller got every token exactly once; return the answer."""
+        async with asyncio.timeout(TEST_TIMEOUT):
             answer = await self.task
         assert answer.status == 200
         text = expected_text(self.prompt, TOKENS)
@@ -44,7 +44,7 @@
 async def start_stream(
     site: Site, client: SiteClient, prompt: str, entry: int = 0
 ) -> WatchedStream:
-    """Start a stream and return once its first tokens have reached the caller."""
+    """Start a stream; returns once its first tokens have reached the caller."""
     began = asyncio.Event()
     url = list(site.entries.values())[entry].url
     body = {
@@ -58,7 +58,7 @@
         "POST", f"{url}/v1/chat/completions", body, on_data=lambda data: began.set()
     )
     task = asyncio.create_task(call)
-    async with asyncio.timeout(LIMIT):
+    async with asyncio.timeout(TEST_TIMEOUT):
         await began.wait()
     upstream = next(
         name for name, engine in site.engines.items() if engine.running > before[name]
@@ -69,7 +69,7 @@
 async def start_call(
     site: Site, client: SiteClient, key: str, entry: int = 0
 ) -> "tuple[asyncio.Task[Answer], str]":
-    """Start a call that may run once; return it and the service at work on it."""
+    """Start a non-idempotent call; returns it and the service that executes it."""
     task = asyncio.create_task(send_call(site, client, key, entry))
     await wait_until(lambda: any(s.counters.running for s in site.services.values()))
     name = next(n for n, s in site.services.items() if s.counters.running)
@@ -77,7 +77,7 @@
 
 
 async def send_call(site: Site, client: SiteClient, key: str, entry: int = 0) -> Answer:
-    """Send a call that may run once; the same body each time for the same key."""
+    """Send a non-idempotent call, with the same body for the same key."""
     url = list(site.entries.values())[entry].url
     service = site.customer.services[0]
     path = f"{url}/services/{service}/{service}"
@@ -86,14 +86,14 @@
 
 
 async def wait_until(condition: Callable[[], bool]) -> None:
-    """Wait until the condition holds; the test fails when it never does."""
-    async with asyncio.timeout(LIMIT):
+    """Wait until the condition holds; fails the test after `TEST_TIMEOUT`."""
+    async with asyncio.timeout(TEST_TIMEOUT):
         while not condition():
             await asyncio.sleep(0.01)
 
 
 def count_runs(site: Site, prompt: str) -> int:
-    """Return how often engines began to generate for this prompt."""
+    """Return the number of generations that engines started for this prompt."""
     digest = hash_prompt(prompt)
     return sum(
         engine.counters.runs_by_prompt[digest] for engine in site.engines.values()
@@ -101,5 +101,5 @@
 
 
 def count_calls(site: Site, key: str) -> int:
-    """Return how often services carried out the call with this key."""
+    """Return how often services executed the call with this key."""
     return sum(service.counters.by_key[key] for service in site.services.values())
--- a/packages/mustardquay-standins/src/mustardquay_standins/weights.py
+++ b/packages/mustardquay-standins/src/mustardquay_standins/weights.py
@@ -1,4 +1,4 @@
-"""Weights: a stand-in of the platform's rate-limited weight store."""
+"""Weights: a stand-in for the platform's rate-limited weight store."""
 
 from collections import Counter
 from dataclasses import dataclass, field
@@ -15,16 +15,16 @@
 
 @dataclass(slots=True)
 class WeightFaults:
-    """Switches of the weight store."""
+    """Fault switches of the weight store."""
 
     down: bool = False
     rate: float = 4.0
-    """Loads a second; 0 for no limit."""
+    """Loads per second; 0 for no limit."""
 
 
 @dataclass(slots=True)
 class WeightCounters:
-    """What the weight store has seen."""
+    """Counters of the weight store."""
 
     loads: Counter[str] = field(default_factory=Counter)
     """Loads granted, by MODEL/VERSION."""
--- a/packages/mustardquay-standins/tests/test_engine_standins.py
+++ b/packages/mustardquay-standins/tests/test_engine_standins.py
@@ -86,7 +86,7 @@
     assert (await call(engine.url + "/v1/completions", body=body))[0] == 400
 
 
-async def test_a_second_order_is_refused_while_the_first_is_carried_out(engine):
+async def test_a_second_order_is_refused_while_the_first_is_executed(engine):
     order = {
         "fence": 3,
         "generation": 1,
@@ -109,11 +109,11 @@
     assert (counters.conflicting, counters.stale, counters.stale_applied) == (1, 2, 1)
 
 
-async def test_a_marked_prompt_crashes_the_engine_which_comes_back_unknown(engine):
-    """A user sees the connection close.
+async def test_a_marked_prompt_crashes_the_engine_which_restarts_unknown(engine):
+    """A crash closes the connections of all requests.
 
-    A running stream ends without its last event, the marked request has no
-    answer, and the engine comes back on its port with another boot number.
+    A running stream ends without its last event, the marked request gets no
+    answer, and the engine restarts on the same port with another boot number.
     """
     engine.faults.crash_marker = "poison"
     body = {"model": "model", "prompt": PROMPT, "max_tokens": 10_000}
@@ -167,7 +167,7 @@
     assert [event["number"] for event in events["events"]] == [4]
 
 
-async def test_a_service_counts_what_it_has_carried_out_before_a_lost_answer():
+async def test_a_service_counts_executions_whose_answer_is_lost():
     service = ServiceStandin()
     await service.start()
     service.faults.drop_answers = 1
@@ -183,11 +183,11 @@
     await service.close()
 
 
-async def test_a_relay_goes_silent_on_open_connections_and_passes_new_ones():
-    """A caller waits on a connection that both ends believe to be open.
+async def test_a_relay_discards_data_of_open_connections_and_forwards_new_ones():
+    """Both ends keep a connection open over which no data arrives any more.
 
-    The relay forgets it after the first echo; bytes sent later vanish, while a
-    new connection works.
+    After the first echo, the relay discards all further bytes of the connection,
+    while a new connection works.
     """
 
     async def echo(reader, writer):
@@ -224,6 +224,6 @@
     body = {"model": "model", "prompt": "x" * 4 * 1000, "max_tokens": 3}
     answer = (await call(engine.url + "/v1/completions", body=body))[1]
     assert answer["choices"][0]["text"] == expected_text(body["prompt"], 3)
-    # 1,000 tokens of prompt in chunks of 512, then three tokens, a step each.
+    # 1,000 prompt tokens in chunks of 512, then three tokens, one per step.
     assert engine.counters.steps == 5
     await engine.close()
--- a/packages/mustardquay-standins/tests/test_site_controls.py
+++ b/packages/mustardquay-standins/tests/test_site_controls.py
@@ -1,4 +1,4 @@
-"""A release on a whole example site, over real sockets."""
+"""Tests of a release on a complete example site, over real sockets."""
 
 import asyncio
 
@@ -8,8 +8,8 @@
 from mustardquay.revisions import Edit, ReleaseAmendment
 from mustardquay_standins.sites import Site
 
-LIMIT = 60.0
-POLL = 0.02
+TIMEOUT = 60.0
+POLL_INTERVAL = 0.02
 
 
 @pytest.fixture
@@ -21,9 +21,9 @@
 
 
 async def wait_until(condition):
-    async with asyncio.timeout(LIMIT):
+    async with asyncio.timeout(TIMEOUT):
         while not condition():
-            await asyncio.sleep(POLL)
+            await asyncio.sleep(POLL_INTERVAL)
 
 
 async def apply(site, change_id, amendment):
@@ -50,13 +50,13 @@
     def is_done():
         return all(item.orders.substance.models[model] == "2" for item in changed)
 
-    least = len(site.engines)
-    async with asyncio.timeout(LIMIT):
+    fewest_available = len(site.engines)
+    async with asyncio.timeout(TIMEOUT):
         while not is_done():
-            away = sum(engine.orders.away for engine in site.engines.values())
-            least = min(least, len(site.engines) - away)
-            await asyncio.sleep(POLL)
-    assert least >= len(site.engines) - 1
+            unavailable = sum(engine.orders.away for engine in site.engines.values())
+            fewest_available = min(fewest_available, len(site.engines) - unavailable)
+            await asyncio.sleep(POLL_INTERVAL)
+    assert fewest_available >= len(site.engines) - 1
     for engine in site.engines.values():
         assert engine.counters.orders.conflicting == 0
     assert len(changed) == 2
