--- a/packages/mustardquay-cli/src/mustardquay_cli/statuses.py
+++ b/packages/mustardquay-cli/src/mustardquay_cli/statuses.py
@@ -102,13 +102,13 @@
             views.setdefault(upstream["name"], []).append(upstream)
     rows = []
     for name, seen in sorted(views.items()):
-        freshest = min(seen, key=lambda view: view["age"])
+        newest = min(seen, key=lambda view: view["age"])
         states = Counter(view["state"] for view in seen)
         state = ", ".join(f"{state} {count}" for state, count in states.items())
         merged = {"upstream": name, "seen by": len(seen)}
         if len(states) > 1:
             merged["state"] = state
-        rows.append(freshest | merged)
+        rows.append(newest | merged)
     return rows
 
 
--- a/packages/mustardquay-cli/src/mustardquay_cli/waits.py
+++ b/packages/mustardquay-cli/src/mustardquay_cli/waits.py
@@ -63,5 +63,5 @@
 
 
 def limit_wait(wait: bool, seconds: float) -> timedelta | None:
-    """Return the timeout of the wait that the options ask for, None for no wait."""
+    """Return the timeout of a wait, or None if no wait was requested."""
     return timedelta(seconds=seconds) if wait else None
--- a/packages/mustardquay-standins/src/mustardquay_standins/engine_calls.py
+++ b/packages/mustardquay-standins/src/mustardquay_standins/engine_calls.py
@@ -119,7 +119,7 @@
             self._head["object"] = "chat.completion.chunk"
 
     @property
-    def gone(self) -> bool:
+    def disconnected(self) -> bool:
         """Return whether the caller has disconnected."""
         return self._call.done
 
--- a/packages/mustardquay-standins/src/mustardquay_standins/engines.py
+++ b/packages/mustardquay-standins/src/mustardquay_standins/engines.py
@@ -166,7 +166,7 @@
         budget = self._find_prefill_budget()
         prefilled = attended = sequences = context = 0
         for request in list(self._running):
-            if request.writer.gone:
+            if request.writer.disconnected:
                 self._remove(request)
                 self.counters.cancelled += 1
             elif request.prefill_left > 0:
