--- a/benchmarks/controls.py
+++ b/benchmarks/controls.py
@@ -344,7 +344,7 @@
     """Print processor time and bytes of calls to the table service over HTTP."""
     child = await start_child("mustardquay_standins.platforms")
     client = PlatformClient(
-        child.get_word("tables"), timedelta(seconds=5), VirtualClock(), Random(1)
+        child.get_ready_value("tables"), timedelta(seconds=5), VirtualClock(), Random(1)
     )
     limits = StoreLimits(1e6, 1_000_000, 1e6, 1_000_000)
     tables = HttpTables(client, limits)
--- a/packages/mustardquay-node/tests/test_controls.py
+++ b/packages/mustardquay-node/tests/test_controls.py
@@ -21,7 +21,7 @@
 @pytest.fixture(params=[True, False], ids=["fencing", "lax"])
 async def fleet(request):
     fleet = Fleet(4, request.param)
-    await fleet.settle()
+    await fleet.run_until_adopted()
     assert fleet.count_ready() == 4
     return fleet
 
@@ -30,35 +30,35 @@
     fleet.configure(2, releases=[NEW])
     await fleet.run(200)
     assert fleet.list_versions() == ["2"] * 4
-    assert fleet.count_ready() == 4 and fleet.lowest == 3
+    assert fleet.count_ready() == 4 and fleet.lowest_ready == 3
     back = Release("m", "1", previous="2")
     fleet.configure(3, releases=[back])
     await fleet.run(200)
     assert fleet.list_versions() == ["1"] * 4
-    assert fleet.count_ready() == 4 and fleet.lowest == 3
+    assert fleet.count_ready() == 4 and fleet.lowest_ready == 3
     assert fleet.count_conflicts() == 0
 
 
 async def test_small_zones_apply_a_release_one_after_another():
     """Three zones that each changed one of their two engines would halve the fleet."""
     fleet = Fleet(6, share=0.8, zones=("linz", "wien-nord", "wien-sued"))
-    await fleet.settle()
+    await fleet.run_until_adopted()
     fleet.configure(2, releases=[NEW])
     await fleet.run(300)
     assert fleet.list_versions() == ["2"] * 6
-    assert fleet.count_ready() == 6 and fleet.lowest == 5
+    assert fleet.count_ready() == 6 and fleet.lowest_ready == 5
 
 
 async def test_a_release_changes_no_engine_that_the_contracts_need():
     fleet = Fleet(4, share=1.0)
-    await fleet.settle()
+    await fleet.run_until_adopted()
     fleet.configure(2, releases=[NEW])
     await fleet.run(60)
     assert fleet.list_versions() == ["1"] * 4
     accepted = Release("m", "2", previous="1", accept_overload=True)
     fleet.configure(3, releases=[accepted])
     await fleet.run(200)
-    assert fleet.list_versions() == ["2"] * 4 and fleet.lowest == 3
+    assert fleet.list_versions() == ["2"] * 4 and fleet.lowest_ready == 3
 
 
 async def test_a_release_stops_at_the_first_engine_that_it_breaks(fleet):
@@ -71,14 +71,14 @@
     fleet.configure(2, releases=[NEW])
     await fleet.run(200)
     assert fleet.list_versions() == ["2", "1", "1", "1"]
-    assert fleet.count_ready() == fleet.lowest == 3
+    assert fleet.count_ready() == fleet.lowest_ready == 3
     back = Release("m", "1", previous="2")
     fleet.configure(3, releases=[back])
     await fleet.run(60)
     assert fleet.list_versions() == ["1"] * 4
     fleet.engines["runner-0"].down = False
     await fleet.run(30)
-    assert fleet.count_ready() == 4 and fleet.lowest == 3
+    assert fleet.count_ready() == 4 and fleet.lowest_ready == 3
 
 
 async def test_work_that_runs_is_finished_before_the_engine_changes(fleet):
@@ -111,9 +111,9 @@
         (name,) = [name for name in fleet.names if fleet.agents[name].draining]
         fleet.agents[name] = fleet.make_agent(name, number)
         await fleet.run(60)
-    assert fleet.count_ready() == 4 and fleet.lowest == 3
+    assert fleet.count_ready() == 4 and fleet.lowest_ready == 3
     await fleet.run(60)
-    assert fleet.lowest == 3
+    assert fleet.lowest_ready == 3
     assert fleet.count_conflicts() == 0
 
 
@@ -126,7 +126,7 @@
     survivors = [entry for entry in fleet.entries if not entry.held]
     await fleet.run(300, survivors)
     assert survivors[0].held and survivors[0].fence == 2
-    assert fleet.list_versions() == ["2"] * 4 and fleet.lowest == 3
+    assert fleet.list_versions() == ["2"] * 4 and fleet.lowest_ready == 3
     assert fleet.count_conflicts() == 0
 
 
@@ -238,11 +238,11 @@
     for process in processes:
         process.store.down = True
     await fleet.run(3)
-    fleet.lowest = 4
+    fleet.lowest_ready = 4
     await fleet.run(1800)
     fleet.busy = set()
     await fleet.run(1800)
-    assert fleet.lowest == 4
+    assert fleet.lowest_ready == 4
     assert not any(entry.held for entry in fleet.entries)
     assert not any(engine.orders for engine in fleet.engines.values())
     for process in processes:
--- a/packages/mustardquay-node/tests/test_engine_controls.py
+++ b/packages/mustardquay-node/tests/test_engine_controls.py
@@ -18,7 +18,7 @@
 from mustardquay_node.reconcilers import Reconciler
 from mustardquay_node.stores import HttpTables, PlatformClient, StoreLimits
 from mustardquay_standins.engines import EngineStandin
-from mustardquay_standins.states import Substance
+from mustardquay_standins.states import EngineSetup
 from mustardquay_standins.stores import LocalObjects
 from mustardquay_standins.tables import TableStandin
 
@@ -35,7 +35,7 @@
         self.tables = TableStandin(self.clock)
         self.tables.faults.read_rate = self.tables.faults.write_rate = 0.0
         self.engine = EngineStandin(
-            substance=Substance(models={"m": "1"}),
+            setup=EngineSetup(models={"m": "1"}),
             change_time=timedelta(),
             restart_time=timedelta(),
         )
@@ -160,7 +160,7 @@
     await site.run_until(agent, lambda: agent.ready and site.entry.engines)
     await site.apply_release("2")
     engine = site.engine.orders
-    await site.run_until(agent, lambda: engine.substance.models == {"m": "2"})
+    await site.run_until(agent, lambda: engine.setup.models == {"m": "2"})
     await site.run_until(agent, lambda: agent.ready)
     site.check()
 
@@ -191,7 +191,7 @@
     assert second.state.changing and not second.ready
     go_on.set()
     await site.run_until(second, lambda: second.ready)
-    assert site.engine.orders.substance.models == {"m": "2"}
+    assert site.engine.orders.setup.models == {"m": "2"}
     await site.apply_release("3")
     await site.run_until(second, lambda: second.row.desired.models == {"m": "3"})
     for _ in range(20):
@@ -199,7 +199,7 @@
         site.clock.advance(timedelta(seconds=1))
     assert first.superseded and not first.ready
     await site.run_until(second, lambda: second.ready)
-    assert site.engine.orders.substance.models == {"m": "3"}
+    assert site.engine.orders.setup.models == {"m": "3"}
     site.check()
 
 
@@ -224,5 +224,5 @@
     await agent.run_once()
     assert not agent.ready
     await site.run_until(agent, lambda: agent.ready)
-    assert site.engine.orders.substance.models == {"m": "2"}
+    assert site.engine.orders.setup.models == {"m": "2"}
     site.check()
--- a/packages/mustardquay-standins/src/mustardquay_standins/children.py
+++ b/packages/mustardquay-standins/src/mustardquay_standins/children.py
@@ -19,9 +19,9 @@
 class Child:
     """A child process."""
 
-    def __init__(self, process: Process, words: dict[str, str]):
+    def __init__(self, process: Process, ready_values: dict[str, str]):
         self._process = process
-        self._words = words
+        self._ready_values = ready_values
 
     @property
     def cpu_seconds(self) -> float:
@@ -41,15 +41,15 @@
         """Return its exit code, None while it runs."""
         return self._process.returncode
 
-    def get_word(self, name: str) -> str:
+    def get_ready_value(self, name: str) -> str:
         """Return the value of NAME= on the line that it printed when ready."""
-        return self._words[name]
+        return self._ready_values[name]
 
     def pause(self) -> None:
         """Suspend it, as happens on an overloaded host."""
         self._signal(signal.SIGSTOP)
 
-    def wake(self) -> None:
+    def resume(self) -> None:
         """Resume it after a pause."""
         self._signal(signal.SIGCONT)
 
@@ -109,9 +109,9 @@
         *arguments,
         stdout=output,
     )
-    words: dict[str, str] = {}
+    ready_values: dict[str, str] = {}
     if process.stdout is not None:
         line = (await process.stdout.readline()).decode()
         pairs = (word.partition("=") for word in line.split())
-        words = {name: value for name, _, value in pairs}
-    return Child(process, words)
+        ready_values = {name: value for name, _, value in pairs}
+    return Child(process, ready_values)
--- a/packages/mustardquay-standins/src/mustardquay_standins/engines.py
+++ b/packages/mustardquay-standins/src/mustardquay_standins/engines.py
@@ -20,7 +20,7 @@
 from .engine_calls import EngineRequest, OpenAIWriter, parse_request
 from .engine_switches import EngineCounters, EngineFaults
 from .servers import Call, Route, StandinServer
-from .states import EngineOrders, Substance
+from .states import EngineOrders, EngineSetup
 
 __all__ = ["EngineCounters", "EngineFaults", "EngineStandin"]
 
@@ -41,7 +41,7 @@
         self,
         clock: Clock | None = None,
         seed: int = 0,
-        substance: Substance | None = None,
+        setup: EngineSetup | None = None,
         token_gap: timedelta = timedelta(milliseconds=2),
         prefill_rate: float = 200_000.0,
         concurrency: int = 256,
@@ -64,7 +64,7 @@
         self._costs = costs
         self._cache = PrefixCache(cache_pieces, self._clock, self._random)
         self._orders = EngineOrders(
-            substance or Substance(),
+            setup or EngineSetup(),
             self.counters.orders,
             change_time,
             weights_url,
@@ -129,7 +129,7 @@
 
     async def _generate(self, call: Call) -> None:
         request = parse_request(call, call.path == CHAT_COMPLETIONS)
-        if self.faults.refuse or self._orders.away:
+        if self.faults.refuse or self._orders.unavailable:
             call.answer(503, {"error": "the engine takes no requests now"})
             return
         refusal = self._orders.check_model(request.model, request.adapter)
@@ -185,7 +185,7 @@
 
     def _find_prefill_budget(self) -> int:
         if self._costs is not None:
-            return self._costs.chunk[self._orders.substance.role]
+            return self._costs.chunk[self._orders.setup.role]
         return max(1, int(self._prefill_rate * self._token_gap.total_seconds()))
 
     def _admit(self) -> None:
@@ -251,8 +251,8 @@
         call.answer(204)
 
     async def _list_models(self, call: Call) -> None:
-        substance = self._orders.substance
-        names = [*substance.models, *substance.adapters]
+        setup = self._orders.setup
+        names = [*setup.models, *setup.adapters]
         data = [
             {"id": name, "object": "model", "created": 0, "owned_by": "engine"}
             for name in names
--- a/packages/mustardquay-standins/src/mustardquay_standins/fleets.py
+++ b/packages/mustardquay-standins/src/mustardquay_standins/fleets.py
@@ -68,7 +68,7 @@
         self.names = list(self.zones)
         self.busy: set[str] = set()
         """Names of the upstreams with running requests."""
-        self.lowest = size
+        self.lowest_ready = size
         """Lowest number of ready engines so far."""
         self._fencing = fencing
         self._share = share
@@ -139,13 +139,13 @@
                 await entry.run_once()
             for agent in self.agents.values():
                 await agent.run_once()
-            self.lowest = min(self.lowest, self.count_ready())
+            self.lowest_ready = min(self.lowest_ready, self.count_ready())
             self.clock.advance(SECOND)
 
-    async def settle(self) -> None:
+    async def run_until_adopted(self) -> None:
         """Run until agents have claimed their engines and controllers adopted them."""
         await self.run(30)
-        self.lowest = len(self.names)
+        self.lowest_ready = len(self.names)
 
     def count_ready(self) -> int:
         """Return the number of engines that may get requests."""
--- a/packages/mustardquay-standins/src/mustardquay_standins/relays.py
+++ b/packages/mustardquay-standins/src/mustardquay_standins/relays.py
@@ -127,7 +127,7 @@
                 self.start(self._address, self._port)
             )
 
-    def forget(self) -> None:
+    def blackhole_connections(self) -> None:
         """Discard all further data of open connections; new connections work."""
         for connection in self._connections:
             connection.blackholed = True
--- a/packages/mustardquay-standins/src/mustardquay_standins/sites.py
+++ b/packages/mustardquay-standins/src/mustardquay_standins/sites.py
@@ -31,7 +31,7 @@
 from .platforms import PlatformStandin, wait_for_signal
 from .relays import RelayStandin
 from .services import ServiceStandin
-from .states import Substance
+from .states import EngineSetup
 
 __all__ = ["EXAMPLES", "SITE_NAMES", "Site", "main"]
 
@@ -129,7 +129,7 @@
         for sections in processes:
             if sections["node"]["kind"] == "entry":
                 await self._start_entry(sections)
-        self.list_instances()
+        self.register_instances()
         await self.wait_until_ready()
         await self._apply_contracts()
 
@@ -149,7 +149,7 @@
             while not self._is_ready():
                 await asyncio.sleep(POLL_INTERVAL)
 
-    def list_instances(self) -> None:
+    def register_instances(self) -> None:
         """Replace the instance list by the processes that are running."""
         lines = [
             Instance(
@@ -216,12 +216,12 @@
             return ServiceStandin(seed=seed)
         models = {name for item in self.contracts for name in item.models}
         adapters = {name for item in self.contracts for name in item.adapters}
-        substance = Substance(
+        setup = EngineSetup(
             models=dict.fromkeys(sorted(models), MODEL_VERSION),
             adapters=tuple(sorted(adapters)),
         )
         weights = self.platform.weights.url
-        return EngineStandin(seed=seed, substance=substance, weights_url=weights)
+        return EngineStandin(seed=seed, setup=setup, weights_url=weights)
 
     async def _start_entry(self, sections: Sections) -> None:
         entry = Entry(self.make_settings(sections), write_event=self._write_event)
--- a/packages/mustardquay-standins/src/mustardquay_standins/stacks.py
+++ b/packages/mustardquay-standins/src/mustardquay_standins/stacks.py
@@ -61,12 +61,12 @@
     @property
     def proxy_target(self) -> LoadTarget:
         """Return the bare proxy as a target."""
-        return LoadTarget([self.children["proxy"].get_word("url")], MODEL)
+        return LoadTarget([self.children["proxy"].get_ready_value("url")], MODEL)
 
     @property
     def engine_target(self) -> LoadTarget:
         """Return the engine as a target, without a proxy."""
-        return LoadTarget([self.children["engine"].get_word("url")], MODEL)
+        return LoadTarget([self.children["engine"].get_ready_value("url")], MODEL)
 
     async def start(self) -> None:
         """Start all processes and wait until requests are served."""
@@ -77,14 +77,14 @@
             f"--token-gap={options.token_gap}",
             f"--concurrency={options.concurrency}",
         )
-        engine = self.children["engine"].get_word("url")
+        engine = self.children["engine"].get_ready_value("url")
         self.children["proxy"] = await start_child(
             "benchmarks.proxies", engine, before=self._make_profiler("proxy")
         )
         agent_port, self._entry_port, self._admin_port = _find_ports(3)
         await self._start_node("agent", agent_port, 0, {"upstream": engine})
         await self._start_node("entry", self._entry_port, self._admin_port, {})
-        self._list_instances(agent_port)
+        self._register_instances(agent_port)
         await self._wait_until_ready()
         self._call("POST", "/admin/contracts", {"contracts": [_make_contract()]})
         await self._wait_until_served()
@@ -109,7 +109,8 @@
             "log_level": self._options.log_level,
         }
         settings["platform"] = {
-            name: platform.get_word(name) for name in ("tables", "objects", "instances")
+            name: platform.get_ready_value(name)
+            for name in ("tables", "objects", "instances")
         }
         settings["link"] = {"keys": "benchmark-link-key"}
         settings[kind] = {"port": str(port), "operator_keys": OPERATOR_KEY} | more
@@ -128,13 +129,13 @@
         path = self._options.profiles.get(name)
         return ("-m", "cProfile", "-o", path) if path else ()
 
-    def _list_instances(self, agent_port: int) -> None:
+    def _register_instances(self, agent_port: int) -> None:
         common = {"address": ADDRESS, "availability_zone": "zone-a", "state": "live"}
         instances = [
             common | {"name": "agent-1", "kind": "agent", "port": agent_port},
             common | {"name": "entry-1", "kind": "entry", "port": 0},
         ]
-        url = self.children["platform"].get_word("instances") + "/instances"
+        url = self.children["platform"].get_ready_value("instances") + "/instances"
         _fetch("PUT", url, {"instances": instances})
 
     async def _wait_until_ready(self) -> None:
--- a/packages/mustardquay-standins/src/mustardquay_standins/states.py
+++ b/packages/mustardquay-standins/src/mustardquay_standins/states.py
@@ -11,7 +11,7 @@
 
 from mustardquay import Role
 
-__all__ = ["EngineOrders", "OrderCounters", "Substance"]
+__all__ = ["EngineOrders", "OrderCounters", "EngineSetup"]
 
 Change = Callable[[], Awaitable[None]]
 LOAD_RETRY_DELAY = 0.2
@@ -19,7 +19,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Substance:
+class EngineSetup:
     """The role of an engine, and the models and adapters that it has loaded."""
 
     role: Role = Role.MIXED
@@ -48,13 +48,13 @@
 
     def __init__(
         self,
-        substance: Substance,
+        setup: EngineSetup,
         counters: OrderCounters,
         change_time: timedelta,
         weights_url: str,
         interrupt: Callable[[], None],
     ):
-        self._substance = substance
+        self._setup = setup
         self._counters = counters
         self._change_time = change_time
         self._weights_url = weights_url
@@ -63,12 +63,12 @@
         self._generation = 0
         self._boot = 1
         self._changing = False
-        self._away = False
+        self._unavailable = False
 
     @property
-    def substance(self) -> Substance:
+    def setup(self) -> EngineSetup:
         """Return the role, models and adapters of the engine."""
-        return self._substance
+        return self._setup
 
     @property
     def boot(self) -> int:
@@ -86,9 +86,9 @@
         return self._changing
 
     @property
-    def away(self) -> bool:
+    def unavailable(self) -> bool:
         """Return whether an order keeps the engine from generating."""
-        return self._away
+        return self._unavailable
 
     def show(self) -> dict[str, Any]:
         """Return the body of `GET /state`."""
@@ -96,18 +96,18 @@
             "boot": self._boot,
             "fence": self._fence,
             "generation": self._generation,
-            "role": self._substance.role,
-            "models": self._substance.models,
-            "adapters": self._substance.adapters,
+            "role": self._setup.role,
+            "models": self._setup.models,
+            "adapters": self._setup.adapters,
             "changing": self._changing,
         }
 
     def check_model(self, model: str, adapter: str) -> str:
         """Return why the engine can't run a request, or an empty string."""
-        if model not in self._substance.models:
-            if model not in self._substance.adapters:
+        if model not in self._setup.models:
+            if model not in self._setup.adapters:
                 return f"model {model} is not loaded"
-        if adapter and adapter not in self._substance.adapters:
+        if adapter and adapter not in self._setup.adapters:
             return f"adapter {adapter} is not loaded"
         return ""
 
@@ -116,7 +116,7 @@
     ) -> tuple[int, dict[str, Any], Change | None]:
         """Accept or refuse an order; returns status, body and the work to execute."""
         fence, generation = int(order["fence"]), int(order["generation"])
-        wanted = Substance(
+        wanted = EngineSetup(
             Role(order["role"]), dict(order["models"]), tuple(order["adapters"])
         )
         highest = self._counters.highest_fence
@@ -141,20 +141,20 @@
         self._boot += 1
         self._generation = 0
         self._changing = False
-        self._away = False
+        self._unavailable = False
         if forget_fence:
             self._fence = 0
         kept = {
             name: version
-            for name, version in self._substance.models.items()
+            for name, version in self._setup.models.items()
             if random.random() < 0.5
         }
-        self._substance = replace(self._substance, models=kept, adapters=())
+        self._setup = replace(self._setup, models=kept, adapters=())
 
-    async def _carry_out(self, wanted: Substance, generation: int, boot: int) -> None:
-        present = self._substance
+    async def _carry_out(self, wanted: EngineSetup, generation: int, boot: int) -> None:
+        present = self._setup
         if (wanted.role, wanted.models) != (present.role, present.models):
-            self._away = True
+            self._unavailable = True
             self._interrupt()
         for name, version in wanted.models.items():
             if present.models.get(name) != version:
@@ -162,10 +162,10 @@
         await asyncio.sleep(self._change_time.total_seconds())
         if boot != self._boot:
             return
-        self._substance = wanted
+        self._setup = wanted
         self._generation = generation
         self._changing = False
-        self._away = False
+        self._unavailable = False
 
     async def _load_weights(self, name: str, version: str) -> None:
         url = f"{self._weights_url}/weights/{name}/{version}"
--- a/packages/mustardquay-standins/src/mustardquay_standins/upstreams.py
+++ b/packages/mustardquay-standins/src/mustardquay_standins/upstreams.py
@@ -10,7 +10,7 @@
 from .platforms import wait_for_signal
 from .servers import StandinServer
 from .services import ServiceStandin
-from .states import Substance
+from .states import EngineSetup
 
 __all__ = ["main"]
 
@@ -38,7 +38,7 @@
     if kind == "engine":
         upstream = EngineStandin(
             seed=seed,
-            substance=Substance(models={model: "1"}),
+            setup=EngineSetup(models={model: "1"}),
             token_gap=timedelta(seconds=token_gap),
             prefill_rate=prefill_rate,
             concurrency=concurrency,
--- a/packages/mustardquay-standins/tests/test_engine_standins.py
+++ b/packages/mustardquay-standins/tests/test_engine_standins.py
@@ -201,7 +201,7 @@
     reader, writer = await asyncio.open_connection(relay.address, relay.port)
     writer.write(b"one")
     assert await reader.readexactly(3) == b"one"
-    relay.forget()
+    relay.blackhole_connections()
     writer.write(b"two")
     while relay.counters.swallowed < 3:
         await asyncio.sleep(0.001)
--- a/packages/mustardquay-standins/tests/test_site_controls.py
+++ b/packages/mustardquay-standins/tests/test_site_controls.py
@@ -48,12 +48,14 @@
     await apply(site, "a", ReleaseAmendment(model, present.revision, release))
 
     def is_done():
-        return all(item.orders.substance.models[model] == "2" for item in changed)
+        return all(item.orders.setup.models[model] == "2" for item in changed)
 
     fewest_available = len(site.engines)
     async with asyncio.timeout(TIMEOUT):
         while not is_done():
-            unavailable = sum(engine.orders.away for engine in site.engines.values())
+            unavailable = sum(
+                engine.orders.unavailable for engine in site.engines.values()
+            )
             fewest_available = min(fewest_available, len(site.engines) - unavailable)
             await asyncio.sleep(POLL_INTERVAL)
     assert fewest_available >= len(site.engines) - 1
@@ -61,5 +63,5 @@
         assert engine.counters.orders.conflicting == 0
     assert len(changed) == 2
     others = [item for item in site.engines.values() if item not in changed]
-    assert all(item.orders.substance.models[model] == "1" for item in others)
+    assert all(item.orders.setup.models[model] == "1" for item in others)
     await site.wait_until_ready()
--- a/tests/test_changes.py
+++ b/tests/test_changes.py
@@ -74,7 +74,7 @@
 
     await wait_until(lambda: len(find_holders()) == 1)
     holder = entries.pop(find_holders()[0])
-    frail_site.list_instances()
+    frail_site.register_instances()
     await holder.stop()
     other = next(iter(entries.values()))
     await announce(other, Action.DRAIN, "assistant-1")
--- a/tests/test_failures.py
+++ b/tests/test_failures.py
@@ -72,7 +72,7 @@
     call = rig.stream()
     await rig.wait_for_tokens()
     for relay in rig.relays.values():
-        relay.forget()
+        relay.blackhole_connections()
     check_whole(await call)
 
 
@@ -86,7 +86,7 @@
     call = rig.alert("s1")
     await until(lambda: rig.executions == 1)
     for relay in rig.relays.values():
-        relay.forget()
+        relay.blackhole_connections()
     for service in services:
         service.faults.frozen = False
     answer = await call
@@ -282,7 +282,7 @@
     call = rig.stream()
     name = await rig.wait_for_tokens()
     for relay in rig.relays.values():
-        relay.forget()
+        relay.blackhole_connections()
     await rig.site.engines[name].crash()
     check_whole(await call)
 
--- a/tests/test_link_faults.py
+++ b/tests/test_link_faults.py
@@ -32,7 +32,7 @@
     new connections work. Heartbeats stop, so the entry opens a new link.
     """
     stream = await start_stream(frail_site, client, "silent link")
-    frail_site.relays[f"agent-{stream.upstream}"].forget()
+    frail_site.relays[f"agent-{stream.upstream}"].blackhole_connections()
     await stream.check_whole()
     assert count_runs(frail_site, "silent link") == 1
 
@@ -46,7 +46,7 @@
     for service in frail_site.services.values():
         service.set_faults({"slow": 0.3})
     task, name = await start_call(frail_site, client, "silent")
-    frail_site.relays[f"agent-{name}"].forget()
+    frail_site.relays[f"agent-{name}"].blackhole_connections()
     answer = await task
     assert (answer.status, answer.outcome) == (201, "answered")
     assert count_calls(frail_site, "silent") == 1
@@ -59,7 +59,7 @@
     came, and the Booking is carried out once or refused as not run.
     """
     for relay in frail_site.relays.values():
-        relay.forget()
+        relay.blackhole_connections()
     answer = await send_call(frail_site, client, "swallowed")
     runs = count_calls(frail_site, "swallowed")
     assert (answer.outcome, runs) in (("answered", 1), ("not-run", 0))
