--- a/packages/mustardquay-cli/tests/test_timelines.py
+++ b/packages/mustardquay-cli/tests/test_timelines.py
@@ -103,7 +103,7 @@
 
 @settings(derandomize=True, deadline=None, database=None, max_examples=100)
 @given(strategies.lists(events, max_size=12))
-def test_any_events_survive_json_and_make_valid_pictures(found):
+def test_any_events_round_trip_through_json_and_make_valid_diagrams(found):
     merged = merge_events(found)
     assert [event.stamp for event in merged] == sorted(event.stamp for event in merged)
     for event in merged:
