--- a/packages/mustardquay-node/src/mustardquay_node/claim_writers.py
+++ b/packages/mustardquay-node/src/mustardquay_node/claim_writers.py
@@ -242,18 +242,18 @@
         self, batch: list[QueuedWrite], writes: list[ClaimWrite], result: Conflict
     ) -> None:
         if len(batch) == 1:
-            self._note_row(batch[0], result.rows[0])
+            self._apply_row(batch[0], result.rows[0])
             return
         items = {item.row_key: item for item in batch}
-        met, doubtful, others = split_conflict(writes, result.rows)
-        for write, row in met:
-            self._note_row(items[write.claim.key.row_key], row)
-        for write in doubtful:
+        existing, ambiguous, retried = split_conflict(writes, result.rows)
+        for write, row in existing:
+            self._apply_row(items[write.claim.key.row_key], row)
+        for write in ambiguous:
             items[write.claim.key.row_key].needs_own_transaction = True
-        again = [items[write.claim.key.row_key] for write in (*doubtful, *others)]
-        self._requeue(again)
+        requeued = [items[write.claim.key.row_key] for write in (*ambiguous, *retried)]
+        self._requeue(requeued)
 
-    def _note_row(self, item: QueuedWrite, row: Row | None) -> None:
+    def _apply_row(self, item: QueuedWrite, row: Row | None) -> None:
         if item.is_new:
             resolved = resolve_claim(item.claim, row, self._clock.now())
             if isinstance(resolved, ClaimResult):
@@ -261,11 +261,11 @@
                 return
             item.claim = resolved
         else:
-            amended = rebase_final_write(item.claim, row)
-            if amended is None:
+            rebased = rebase_final_write(item.claim, row)
+            if rebased is None:
                 self._set_end_result(item, _has_state(item.claim, row))
                 return
-            item.claim = amended
+            item.claim = rebased
         item.needs_own_transaction = False
         self._requeue([item])
 
--- a/packages/mustardquay-node/src/mustardquay_node/services.py
+++ b/packages/mustardquay-node/src/mustardquay_node/services.py
@@ -100,7 +100,7 @@
         lifetime = self.deps.settings.claim_lifetime
         self.set_header(LIFETIME_HEADER, str(int(lifetime.total_seconds())))
         result = await self._claim(service, key, path)
-        await self._follow_result(result, path)
+        await self._apply_claim_result(result, path)
 
     async def _claim(self, service: str, key: str, path: str) -> ClaimResult:
         contract = self.customer
@@ -116,7 +116,7 @@
             self.arrived + contract.lateness.whole,
         )
 
-    async def _follow_result(self, result: ClaimResult, path: str) -> None:
+    async def _apply_claim_result(self, result: ClaimResult, path: str) -> None:
         self.deps.events.record(
             "claim.judged",
             request=self.request_id,
