--- a/conftest.py
+++ b/conftest.py
@@ -1,6 +1,6 @@
-"""Lets tests that `KNOWN-RED.txt` lists fail without failing the run, and prints them.
+"""Marks the tests that `KNOWN-RED.txt` lists as expected failures, and prints them.
 
-A listed test still runs each time. An entry begins with a dash and the test's id:
+Listed tests are run like all others. An entry starts with a dash and the test's id:
 
     - tests/test_paths.py::test_name[parameter]: command, what was seen, issue.
 """
@@ -32,7 +32,7 @@
 
 
 def _find_stale(listed: Sequence[str], items: Sequence[pytest.Item]) -> list[str]:
-    """Return the listed tests that don't exist, of the files that were collected."""
+    """Return the listed tests that don't exist in the files that were collected."""
     collected = {item.nodeid for item in items}
     files = {id.partition("::")[0] for id in collected}
     return [
@@ -44,10 +44,10 @@
 def pytest_collection_modifyitems(
     config: pytest.Config, items: list[pytest.Item]
 ) -> None:
-    """Expect failures of the listed tests only.
+    """Mark the listed tests, and only these, as expected failures.
 
-    Runs before tests are deselected, so that a listed test that isn't asked for does
-    not count as one that doesn't exist.
+    Runs before tests are deselected, so that a listed test that was not selected is not
+    reported as missing.
     """
     listed = _read_listed(config)
     is_whole = not any("::" in argument for argument in config.args)
@@ -63,7 +63,7 @@
 def pytest_terminal_summary(
     terminalreporter: pytest.TerminalReporter, config: pytest.Config
 ) -> None:
-    """Print how each listed test ended."""
+    """Print the result of each listed test."""
     listed = _read_listed(config)
     if not listed:
         return
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,4 +1,4 @@
-"""What the tests of a whole site share."""
+"""Fixtures for tests of a whole site."""
 
 from collections.abc import AsyncIterator
 from datetime import timedelta
@@ -9,32 +9,38 @@
 from mustardquay_standins.clients import SiteClient
 from mustardquay_standins.sites import Site
 
-QUICK = {
+SHORT_INTERVALS = {
     "link": {"heartbeat": "0.1", "silence": "0.6"},
     "entry": {"progress_timeout": "2", "lease_term": "1"},
     "agent": {"progress_timeout": "1", "report_interval": "0.1"},
 }
-"""Settings under which failures are noticed soon enough for tests."""
+"""Settings with which failures are detected soon enough for tests."""
 
-PATIENT = LatenessDocument(
+LENIENT_LATENESS = LatenessDocument(
     first_token=timedelta(seconds=8), whole=timedelta(seconds=60)
 )
-"""Lateness that a busy machine does not exceed."""
+"""Lateness limits that a busy machine does not exceed."""
 
 
 @pytest.fixture
 async def site() -> AsyncIterator[Site]:
-    """Give a running site of the first example."""
-    running = Site("strassenmeldung", seed=1, lateness=PATIENT)
+    """Provide a running site of the first example."""
+    running = Site("strassenmeldung", seed=1, lateness=LENIENT_LATENESS)
     await running.start()
     yield running
     await running.close()
 
 
 @pytest.fixture
-async def frail_site() -> AsyncIterator[Site]:
-    """Give a running site whose links go through relays, and that notices soon."""
-    running = Site("syndesmos", seed=1, overrides=QUICK, relayed=True, lateness=PATIENT)
+async def relayed_site() -> AsyncIterator[Site]:
+    """Provide a running site with relays in its links and `SHORT_INTERVALS`."""
+    running = Site(
+        "syndesmos",
+        seed=1,
+        overrides=SHORT_INTERVALS,
+        relayed=True,
+        lateness=LENIENT_LATENESS,
+    )
     await running.start()
     yield running
     await running.close()
@@ -42,8 +48,8 @@
 
 @pytest.fixture
 async def client(request: pytest.FixtureRequest) -> AsyncIterator[SiteClient]:
-    """Give a caller with the key of the site's first customer."""
-    name = "frail_site" if "frail_site" in request.fixturenames else "site"
+    """Provide a caller with the key of the site's first customer."""
+    name = "relayed_site" if "relayed_site" in request.fixturenames else "site"
     running = request.getfixturevalue(name)
     caller = SiteClient(running.customer.keys[0])
     yield caller
--- a/tests/rigs.py
+++ b/tests/rigs.py
@@ -1,4 +1,4 @@
-"""Rigs: a whole site whose processes, links and stand-ins fail on demand."""
+"""Test rig: a whole site whose processes, links and stand-ins fail on demand."""
 
 import asyncio
 import os
@@ -22,16 +22,16 @@
 from mustardquay_standins.services import ServiceStandin
 from mustardquay_standins.sites import Site
 
-LIMIT = 30.0
-"""Seconds after which a wait has failed."""
-PORTS = range(20_000, 32_000)
-PORTS_OF_A_RUN = 97
-"""Ports between the first ones of two test processes that began one after the other."""
-_port_numbers = count(os.getpid() * PORTS_OF_A_RUN)
-PATIENT = LatenessDocument(
+TIMEOUT = 30.0
+"""Seconds after which a wait fails."""
+PORT_RANGE = range(20_000, 32_000)
+PORTS_PER_RUN = 97
+"""Distance between the first ports of two test processes with consecutive ids."""
+_port_numbers = count(os.getpid() * PORTS_PER_RUN)
+LENIENT_LATENESS = LatenessDocument(
     first_token=timedelta(seconds=8), whole=timedelta(seconds=60)
 )
-"""Lateness that a busy machine does not exceed."""
+"""Lateness limits that a busy machine does not exceed."""
 LINK = {"heartbeat": "0.1", "silence": "0.5"}
 TOKENS = 200
 PROMPT = "Draft the alert for the ramp at Linz"
@@ -39,11 +39,14 @@
 
 
 class Rig:
-    """A site, its caller, relays before its agents and processes of its own."""
+    """A site, its caller, relays in front of agents, and nodes in own processes."""
 
     def __init__(self, folder: Path):
         self.site = Site(
-            "strassenmeldung", seed=1, overrides={"link": LINK}, lateness=PATIENT
+            "strassenmeldung",
+            seed=1,
+            overrides={"link": LINK},
+            lateness=LENIENT_LATENESS,
         )
         self.client = SiteClient(self.site.customer.keys[0])
         self.relays: dict[str, RelayStandin] = {}
@@ -82,8 +85,8 @@
         for item in (*self.relays.values(), *self._services):
             await item.close()
 
-    async def put_relays(self) -> None:
-        """Lead every link through a relay."""
+    async def insert_relays(self) -> None:
+        """Route every link through a relay."""
         lines = []
         for name, agent in self.site.agents.items():
             relay = RelayStandin("127.0.0.1", agent.port)
@@ -93,7 +96,7 @@
             lines.append(Instance(name, "agent", "127.0.0.1", relay.port, zone))
         self.list_instances(lines)
         entries = self._all()
-        await until(lambda: all(self._is_relayed(entry) for entry in entries))
+        await wait_until(lambda: all(self._is_relayed(entry) for entry in entries))
 
     def _is_relayed(self, entry) -> bool:
         """Return whether all the links of an entry go through the relays."""
@@ -116,7 +119,7 @@
         self.site.platform.instances.set_instances([*agents, *entries])
 
     async def start_process_agent(self) -> tuple[subprocess.Popen, ServiceStandin]:
-        """Have all alerts go through an agent that is a process of its own."""
+        """Route all alerts through an agent in a process of its own."""
         service = ServiceStandin()
         await service.start()
         self._services.append(service)
@@ -136,11 +139,13 @@
         self.list_instances(
             [*lines, Instance("agent-alone", "agent", "127.0.0.1", port, "linz")]
         )
-        await until(lambda: all("alone" in e.list_reachable() for e in self._all()))
+        await wait_until(
+            lambda: all("alone" in e.list_reachable() for e in self._all())
+        )
         return process, service
 
     async def start_process_entry(self) -> tuple[subprocess.Popen, str]:
-        """Start another entry, which is a process of its own."""
+        """Start another entry in a process of its own."""
         port = find_free_port()
         path = self._folder / "entry.ini"
         path.write_text(self._write_entry_settings(port), encoding="utf-8")
@@ -149,7 +154,7 @@
         self._processes.append(process)
         url = f"http://127.0.0.1:{port}"
         hours = f"{url}/services/alerts/hours"
-        async with asyncio.timeout(LIMIT):
+        async with asyncio.timeout(TIMEOUT):
             while await read_status(self.client.call("GET", hours)) != 200:
                 await asyncio.sleep(0.05)
         return process, url
@@ -197,14 +202,14 @@
         return asyncio.ensure_future(call)
 
     def find_running(self) -> str:
-        """Return the name of the engine that runs a request, or nothing."""
+        """Return the name of the engine that runs a request, or an empty string."""
         names = [name for name, item in self.site.engines.items() if item.running]
         return names[0] if names else ""
 
     async def wait_for_tokens(self, count: int = 20) -> str:
-        """Wait until a stream is in its middle; return the engine that runs it."""
+        """Wait until a stream has produced tokens; return the engine that runs it."""
         engines = self.site.engines.values()
-        await until(lambda: sum(item.counters.tokens for item in engines) >= count)
+        await wait_until(lambda: sum(item.counters.tokens for item in engines) >= count)
         return self.find_running()
 
     def find_agent(self, upstream: str) -> Agent:
@@ -216,30 +221,30 @@
 
 
 def find_free_port() -> int:
-    """Return a port for a process that is started a moment later.
+    """Return a free port for a process that is started next.
 
-    Guards against its being taken until then: the system gives the ports above these to
-    any outgoing call, and other test runs begin elsewhere among these.
+    Another process must not take the port in the meantime: the system uses ports above
+    this range for outgoing connections, and other test runs start elsewhere in it.
     """
     for number in _port_numbers:
-        port = PORTS[number % len(PORTS)]
+        port = PORT_RANGE[number % len(PORT_RANGE)]
         with socket.socket() as found:
             try:
                 found.bind(("127.0.0.1", port))
             except OSError:
                 continue
             return port
-    raise AssertionError("The numbers never end.")
+    raise AssertionError("The iterator of port numbers is infinite.")
 
 
-async def until(holds: Callable[[], bool]) -> None:
-    async with asyncio.timeout(LIMIT):
-        while not holds():
+async def wait_until(condition: Callable[[], bool]) -> None:
+    async with asyncio.timeout(TIMEOUT):
+        while not condition():
             await asyncio.sleep(0.005)
 
 
 async def read_status(call) -> int:
-    """Return the status, 0 when the connection broke or was refused."""
+    """Return the status, or 0 if the connection was reset or refused."""
     try:
         return (await call).status
     except (OSError, HTTPError):
--- a/tests/test_caller_faults.py
+++ b/tests/test_caller_faults.py
@@ -1,4 +1,4 @@
-"""Failures of callers, over real sockets."""
+"""Faults of callers, over real sockets."""
 
 import asyncio
 import socket
@@ -13,18 +13,20 @@
 
 pytestmark = pytest.mark.fault
 
-IMPATIENT = {
+SHORT_TIMEOUTS = {
     "entry": {"idle_timeout": "0.5", "body_timeout": "0.5", "progress_timeout": "1"}
 }
 
-PATIENT = LatenessDocument(
+LENIENT_LATENESS = LatenessDocument(
     first_token=timedelta(seconds=8), whole=timedelta(seconds=60)
 )
 
 
 @pytest.fixture
 async def site():
-    running = Site("strassenmeldung", seed=1, overrides=IMPATIENT, lateness=PATIENT)
+    running = Site(
+        "strassenmeldung", seed=1, overrides=SHORT_TIMEOUTS, lateness=LENIENT_LATENESS
+    )
     await running.start()
     yield running
     await running.close()
@@ -44,15 +46,15 @@
 
 
 @pytest.mark.parametrize(
-    "parts", [b"", b"POST /v1/chat", b"POST / HTTP/1.1\r\nHost: entry\r\nContent-"]
+    "data", [b"", b"POST /v1/chat", b"POST / HTTP/1.1\r\nHost: entry\r\nContent-"]
 )
-async def test_caller_that_sends_half_a_head_is_dropped(site, parts):
+async def test_caller_that_sends_half_a_head_is_dropped(site, data):
     """
-    A caller opens a connection, sends nothing or half a head, and falls silent. It
-    would hold a connection for good; the entry closes it after the idle time.
+    A caller opens a connection and sends nothing, or only a part of the head. Without
+    an idle timeout the entry would keep the connection forever.
     """
     reader, writer = await connect(site)
-    writer.write(parts)
+    writer.write(data)
     async with asyncio.timeout(20):
         assert await reader.read() == b""
     writer.close()
@@ -60,8 +62,8 @@
 
 async def test_caller_that_sends_half_a_body_is_dropped(site):
     """
-    A caller announces a body, sends a part and falls silent. The entry closes the
-    connection after the time for bodies, and nothing was run.
+    A caller announces a body and sends only a part of it. The entry closes the
+    connection after the body timeout, and runs nothing.
     """
     reader, writer = await connect(site)
     writer.write(make_head(site, 1000) + b'{"model":')
@@ -71,11 +73,11 @@
     assert all(engine.counters.tokens == 0 for engine in site.engines.values())
 
 
-async def test_caller_that_takes_nothing_in_holds_no_engine(site):
+async def test_caller_that_reads_nothing_frees_its_engine(site):
     """
-    A caller asks for a long stream and reads none of it. The engine's work is held
-    back by the window of the stream, then the caller is dropped and the engine is
-    free again; the memory for the stream stays bounded.
+    A caller requests a long stream and reads none of it. The window of the stream
+    stops the engine, then the entry drops the caller and frees the engine; the
+    memory for the stream stays bounded.
     """
     body = (
         b'{"model": "bulletin-reader", "stream": true, "max_tokens": 100000, '
@@ -97,31 +99,32 @@
 
 async def test_caller_that_leaves_frees_its_engine(site):
     """
-    A caller closes its connection in mid-stream. The entry cancels the attempt and
-    the engine stops to generate for nobody.
+    A caller closes its connection in mid-stream. The entry cancels the attempt, so
+    that the engine doesn't go on generating tokens that nobody reads.
     """
     client = SiteClient(site.customer.keys[0])
     stream = await start_stream(site, client, "abandoned")
     stream.task.cancel()
     client.close()
     entry = next(iter(site.entries.values()))
-    await entry_closes(entry, stream)
+    await wait_for_request_end(entry, stream)
     engine = site.engines[stream.upstream]
     await wait_until(lambda: engine.running == 0)
     assert engine.counters.finished + engine.counters.cancelled >= 1
 
 
-async def entry_closes(entry, stream):
+async def wait_for_request_end(entry, stream):
     await wait_until(
         lambda: any(e.kind == "request.ended" for e in entry.events.list_events())
     )
 
 
 @pytest.mark.parametrize("limit", [131_073, 1_000_000, 2_147_483_648, 10**30])
-async def test_an_output_limit_that_no_model_holds_is_refused(site, limit):
+async def test_an_output_limit_over_that_of_all_models_is_refused(site, limit):
     """
-    A caller asks for two thousand million tokens. The engine plans for all of them,
-    answers nobody any more, and grows until it is killed.
+    A caller requests two thousand million tokens. Without a limit, the engine
+    allocates memory for all of them, stops answering other requests, and grows until
+    it is killed.
     """
     body = (
         b'{"model": "bulletin-reader", "max_tokens": %d, '
--- a/tests/test_certificates.py
+++ b/tests/test_certificates.py
@@ -1,4 +1,4 @@
-"""TLS towards callers, with a certificate that was made for these tests."""
+"""TLS for callers, with a test certificate."""
 
 import socket
 import ssl
@@ -16,9 +16,9 @@
 PRIVATE_KEY = FOLDER / "private_key.pem"
 
 
-def run_entry(own: Path) -> subprocess.CompletedProcess:
+def run_entry(own_settings: Path) -> subprocess.CompletedProcess:
     site = EXAMPLES / "syndesmos"
-    files = [site / "common.ini", site / "processes" / "entry-1.ini", own]
+    files = [site / "common.ini", site / "processes" / "entry-1.ini", own_settings]
     command = [sys.executable, "-m", "mustardquay_node.programs", *map(str, files)]
     return subprocess.run(command, capture_output=True, text=True, timeout=60)
 
@@ -36,43 +36,44 @@
     url = f"{next(iter(secure_site.entries.values())).url}/v1/models"
     assert url.startswith("https://127.0.0.1:")
     headers = {"Authorization": f"Bearer {secure_site.customer.keys[0]}"}
-    trusting = ssl.create_default_context(cafile=str(CERTIFICATE))
+    context = ssl.create_default_context(cafile=str(CERTIFICATE))
     client = AsyncHTTPClient(force_instance=True)
-    response = await client.fetch(url, headers=headers, ssl_options=trusting)
+    response = await client.fetch(url, headers=headers, ssl_options=context)
     assert response.code == 200
     assert response.headers["Mustardquay-Outcome"]
     with pytest.raises(ssl.SSLCertVerificationError):
         await client.fetch(url, headers=headers)
     with pytest.raises((HTTPError, OSError)):
         await client.fetch(url.replace("https", "http"), headers=headers)
-    response = await client.fetch(url, headers=headers, ssl_options=trusting)
+    response = await client.fetch(url, headers=headers, ssl_options=context)
     assert response.code == 200
     client.close()
 
 
 @pytest.mark.parametrize("private_key", [CERTIFICATE, FOLDER / "none.pem"])
-def test_a_certificate_that_cannot_be_used_is_named_at_the_start(tmp_path, private_key):
-    # An operator gives a private key that is not that of the certificate, or is not
-    # there. The process must say so and end, not start and fail every caller.
-    own = tmp_path / "own.ini"
-    own.write_text(
+def test_an_unusable_certificate_is_reported_at_the_start(tmp_path, private_key):
+    # The private key doesn't belong to the certificate, or the file doesn't exist. The
+    # process must report it and exit, not start and fail every request.
+    own_settings = tmp_path / "own.ini"
+    own_settings.write_text(
         f"[entry]\nport = 0\ncertificate = {CERTIFICATE}\nprivate_key = {private_key}\n"
         "[node]\nadmin_port = 0\n"
     )
-    result = run_entry(own)
+    result = run_entry(own_settings)
     assert result.returncode == 2
     assert "[entry] certificate" in result.stderr
     assert "give PEM files that belong together" in result.stderr
     assert "Traceback" not in result.stderr
 
 
-def test_a_port_that_is_taken_is_told_without_a_traceback(tmp_path):
-    # Two processes are given the same port: the second must name it and end.
+def test_a_port_in_use_is_reported_without_a_traceback(tmp_path):
+    # Two processes have the same port in their settings: the second must report the
+    # port and exit.
     with socket.create_server(("127.0.0.1", 0)) as holder:
-        own = tmp_path / "own.ini"
+        own_settings = tmp_path / "own.ini"
         port = holder.getsockname()[1]
-        own.write_text(f"[entry]\nport = {port}\n[node]\nadmin_port = 0\n")
-        result = run_entry(own)
+        own_settings.write_text(f"[entry]\nport = {port}\n[node]\nadmin_port = 0\n")
+        result = run_entry(own_settings)
     assert result.returncode == 2
     assert "choose a free port" in result.stderr
     assert "Traceback" not in result.stderr
--- a/tests/test_changes.py
+++ b/tests/test_changes.py
@@ -19,7 +19,7 @@
     )
 
 
-async def take_back(entry, revision):
+async def cancel_change(entry, revision):
     amendment = ChangeAmendment("change", revision, None)
     return await entry.apply_edit(Edit(uuid4().hex, "operator", (amendment,)))
 
@@ -32,65 +32,68 @@
     return all(upstream not in item.list_reachable() for item in site.entries.values())
 
 
-async def test_announced_drain_cuts_nothing_and_is_taken_back(frail_site, client):
+async def test_announced_drain_cuts_no_stream_and_can_be_cancelled(
+    relayed_site, client
+):
     """
-    An operator announces the drain of an engine that is in the middle of a draft.
-    The draft ends whole there, no entry chooses the engine any more, and it serves
-    again once the operator has taken the change back.
+    An operator announces the drain of an engine that is streaming a draft. The draft
+    is completed there, no entry chooses the engine for new requests, and it serves
+    again once the operator has cancelled the change.
     """
-    entry = frail_site.entries["entry-2"]
-    stream = await start_stream(frail_site, client, "announced")
+    entry = relayed_site.entries["entry-2"]
+    stream = await start_stream(relayed_site, client, "announced")
     revision = await announce(entry, Action.DRAIN, stream.upstream)
-    await wait_until(lambda: is_left_out(frail_site, stream.upstream))
+    await wait_until(lambda: is_left_out(relayed_site, stream.upstream))
     await stream.check_whole()
-    assert count_runs(frail_site, "announced") == 1
-    await take_back(entry, revision)
-    await wait_until(lambda: is_chosen(frail_site, stream.upstream))
+    assert count_runs(relayed_site, "announced") == 1
+    await cancel_change(entry, revision)
+    await wait_until(lambda: is_chosen(relayed_site, stream.upstream))
 
 
-async def test_drain_of_a_plain_service_goes_the_same_way(frail_site, client):
+async def test_drain_of_a_plain_service_can_be_cancelled(relayed_site, client):
     """
     An operator announces the drain of an instance of the booking service. Entries
-    stop choosing it; it takes no orders and still drains.
+    stop choosing it, although a plain service takes no orders.
     """
-    entry = frail_site.entries["entry-1"]
-    name = next(iter(frail_site.services))
+    entry = relayed_site.entries["entry-1"]
+    name = next(iter(relayed_site.services))
     revision = await announce(entry, Action.DRAIN, name)
-    await wait_until(lambda: is_left_out(frail_site, name))
-    await take_back(entry, revision)
-    await wait_until(lambda: is_chosen(frail_site, name))
+    await wait_until(lambda: is_left_out(relayed_site, name))
+    await cancel_change(entry, revision)
+    await wait_until(lambda: is_chosen(relayed_site, name))
 
 
-async def test_change_goes_on_after_the_death_of_its_holder(frail_site, client):
+async def test_change_is_carried_out_after_its_lease_holder_stops(relayed_site, client):
     """
-    The entry that holds the lease of a zone dies while the zone's drain is being
-    carried out. Another entry takes the lease over and the change is carried out.
+    The entry that holds the lease of a zone stops, and then a drain in that zone is
+    announced. Another entry takes over the lease and carries out the change.
     """
-    entries = frail_site.entries
-    zone = frail_site.find_agent("assistant-1").availability_zone
+    entries = relayed_site.entries
+    zone = relayed_site.find_agent("assistant-1").availability_zone
 
     def find_holders():
         return [name for name, item in entries.items() if zone in item.held_domains]
 
     await wait_until(lambda: len(find_holders()) == 1)
     holder = entries.pop(find_holders()[0])
-    frail_site.list_instances()
+    relayed_site.list_instances()
     await holder.stop()
     other = next(iter(entries.values()))
     await announce(other, Action.DRAIN, "assistant-1")
-    await wait_until(lambda: is_left_out(frail_site, "assistant-1"))
+    await wait_until(lambda: is_left_out(relayed_site, "assistant-1"))
     assert zone in other.held_domains
 
 
-async def test_change_that_the_rest_can_not_bear_is_refused(frail_site):
+async def test_change_that_leaves_too_little_capacity_is_refused(relayed_site):
     """
-    An operator announces that a whole zone is withdrawn, and the rest could not
-    honour the contracts. The edit is refused with the sum, and nothing is drained.
+    An operator announces the withdrawal of a whole zone, which would leave too little
+    capacity for the contracts. The edit is refused with the sum, and nothing is
+    drained.
     """
-    entry = frail_site.entries["entry-1"]
-    zones = {agent.availability_zone for agent in frail_site.agents.values()}
+    entry = relayed_site.entries["entry-1"]
+    zones = {agent.availability_zone for agent in relayed_site.agents.values()}
     await wait_until(
-        lambda: any(item.held_domains for item in frail_site.entries.values())
+        lambda: any(item.held_domains for item in relayed_site.entries.values())
     )
     version = entry.version
     with pytest.raises(DocumentError):
@@ -104,14 +107,14 @@
     assert entry.version == version
 
 
-async def test_of_racing_operators_one_is_shown_the_conflict(frail_site):
+async def test_one_of_two_concurrent_edits_is_a_conflict(relayed_site):
     """
-    Two operators announce a change under one name through two entries. One edit is
-    accepted and in force everywhere, the other operator sees the conflict.
+    Two operators announce a change of the same name through two entries. One edit is
+    accepted and applied everywhere, the other is refused as a conflict.
     """
-    first, second = frail_site.entries.values()
+    first, second = relayed_site.entries.values()
     version = await announce(first, Action.DRAIN, "assistant-1")
     with pytest.raises(ConflictError):
         await announce(second, Action.DRAIN, "assistant-2")
-    nodes = (*frail_site.entries.values(), *frail_site.agents.values())
+    nodes = (*relayed_site.entries.values(), *relayed_site.agents.values())
     await wait_until(lambda: all(node.version == version for node in nodes))
--- a/tests/test_failures.py
+++ b/tests/test_failures.py
@@ -1,10 +1,10 @@
-"""Failures named for requests, caused over real sockets, alone and in pairs."""
+"""Faults that requests must survive, alone and in pairs, over real sockets."""
 
 import asyncio
 import signal
 
 import pytest
-from rigs import PROMPT, TOKENS, Rig, check_whole, read_status, until
+from rigs import PROMPT, TOKENS, Rig, check_whole, read_status, wait_until
 
 from mustardquay_standins.answers import expected_text
 from mustardquay_standins.clients import read_stream_text
@@ -21,12 +21,12 @@
 
 
 async def test_killed_agent_leaves_an_alert_unknown_and_unrepeated(rig):
-    """An alert is with the service when the agent beside it is killed. The caller
-    must hear "unknown", not "not run", and so must each repeat, at any entry."""
+    """The agent is killed while its service processes an alert. The caller must get
+    "unknown", not "not run", and so must each repeat, through any entry."""
     process, service = await rig.start_process_agent()
     service.faults.frozen = True
     call = rig.alert("a1")
-    await until(lambda: service.counters.running == 1)
+    await wait_until(lambda: service.counters.running == 1)
     process.kill()
     first = await call
     assert first.outcome == "unknown"
@@ -36,16 +36,16 @@
     assert service.counters.executions == 1
 
 
-async def test_paused_agent_that_wakes_runs_nothing_twice(rig):
-    """The agent is stopped with SIGSTOP before the alert comes, and its link goes
-    silent. The frame waits in its socket while the caller hears an end; woken, the
-    agent finds it. "Not run" would be a lie if it ran it then."""
+async def test_resumed_agent_runs_nothing_twice(rig):
+    """The agent is paused with SIGSTOP before the alert is sent, and its link becomes
+    silent. The frame stays in the socket buffer while the caller gets an outcome. If
+    the resumed agent ran the alert then, an earlier "not run" would be false."""
     process, service = await rig.start_process_agent()
     process.send_signal(signal.SIGSTOP)
     first = await rig.alert("p1")
     assert first.outcome in ("unknown", "not-run")
     process.send_signal(signal.SIGCONT)
-    await until(lambda: all("alone" in e.list_reachable() for e in rig._all()))
+    await wait_until(lambda: all("alone" in e.list_reachable() for e in rig._all()))
     again = await rig.alert("p1", 1)
     if first.outcome == "not-run":
         assert (again.outcome, service.counters.executions) == ("answered", 1)
@@ -54,10 +54,10 @@
         assert service.counters.executions <= 1
 
 
-async def test_cut_links_cost_a_stream_no_token(rig):
-    """All links are cut while a stream is in its middle: the caller sees each
-    token once, since the frames are asked for again over a new link."""
-    await rig.put_relays()
+async def test_stream_loses_no_token_when_links_are_cut(rig):
+    """All links are cut in mid-stream: the caller gets each token once, since the
+    entry requests the missing frames over a new link."""
+    await rig.insert_relays()
     call = rig.stream()
     await rig.wait_for_tokens()
     for relay in rig.relays.values():
@@ -65,10 +65,10 @@
     check_whole(await call)
 
 
-async def test_link_that_goes_silent_costs_seconds_and_no_outcome(rig):
-    """A middlebox forgets the links: TCP says that all is well and no byte comes.
-    Heartbeats are missed, a new link is opened, the stream goes on."""
-    await rig.put_relays()
+async def test_stream_is_delayed_but_complete_when_links_become_silent(rig):
+    """A middlebox loses the state of the links: TCP reports no error and no data
+    arrives. Heartbeats time out, a new link is opened, the stream continues."""
+    await rig.insert_relays()
     call = rig.stream()
     await rig.wait_for_tokens()
     for relay in rig.relays.values():
@@ -76,15 +76,15 @@
     check_whole(await call)
 
 
-async def test_silent_link_does_not_run_an_alert_twice(rig):
-    """The links go silent while an alert is with the service, whose answer can't
-    come back over them. The entry asks over a new link and passes it on."""
-    await rig.put_relays()
+async def test_alert_runs_once_when_links_become_silent(rig):
+    """The links become silent while the service processes an alert, so that its answer
+    can't be sent over them. The entry requests the answer over a new link."""
+    await rig.insert_relays()
     services = rig.site.services.values()
     for service in services:
         service.faults.frozen = True
     call = rig.alert("s1")
-    await until(lambda: rig.executions == 1)
+    await wait_until(lambda: rig.executions == 1)
     for relay in rig.relays.values():
         relay.forget()
     for service in services:
@@ -95,8 +95,8 @@
 
 
 async def test_lost_answer_to_a_claim_does_not_lose_the_alert(rig):
-    """The claim is written and the store's answer lost: the alert would be refused
-    for its own claim. The row is read back and shows whose it is."""
+    """The claim is written and the store's answer is lost. Without reading the row to
+    find its owner, the entry would refuse the alert because of its own claim."""
     rig.site.platform.tables.faults.lose_answers = 1
     answer = await rig.alert("l1")
     assert (answer.status, answer.outcome) == (201, "answered")
@@ -106,8 +106,8 @@
 
 
 async def test_service_that_drops_its_answer_leaves_the_alert_unknown(rig):
-    """The alert is sent and the service's connection closes before its answer: a
-    retry would send it to all commuters twice."""
+    """The service runs the alert and closes its connection before the answer: a retry
+    would send the alert to all commuters twice."""
     for service in rig.site.services.values():
         service.faults.drop_answers = 1
     first = await rig.alert("d1")
@@ -116,19 +116,19 @@
     assert rig.executions == 1
 
 
-async def test_crashed_engine_costs_a_stream_no_token(rig):
-    """The engine dies in the middle of a stream; another one goes on behind the
-    last token that the caller has seen."""
+async def test_stream_loses_no_token_when_its_engine_crashes(rig):
+    """The engine crashes in mid-stream; another one resumes after the last token that
+    the caller has received."""
     call = rig.stream()
     name = await rig.wait_for_tokens()
     await rig.site.engines[name].crash()
     check_whole(await call)
 
 
-async def test_poisonous_request_crashes_two_engines_and_no_innocent_is_lost(rig):
-    """One prompt crashes each engine that runs it and its caller sends it again
-    through both entries, while others stream. After the second crash it is refused
-    everywhere; all the others come through whole."""
+async def test_crashing_request_is_refused_after_two_crashes_and_others_complete(rig):
+    """One prompt crashes each engine that runs it, and its caller repeats it through
+    both entries while others stream. After the second crash it is refused everywhere;
+    all other streams are complete."""
     for engine in rig.site.engines.values():
         engine.faults.crash_marker = "poison"
     prompts = [f"{PROMPT} {number}" for number in range(6)]
@@ -143,16 +143,18 @@
 
 
 async def test_repeat_at_another_entry_joins_the_running_alert(rig):
-    """The caller loses patience and sends the alert again, at the other entry,
-    while the first is still running: both hear the one answer."""
+    """The caller repeats the alert through the other entry while the first call is
+    still running: both get the same answer."""
     services = rig.site.services.values()
     for service in services:
         service.faults.frozen = True
     first = rig.alert("j1")
-    await until(lambda: rig.executions == 1)
+    await wait_until(lambda: rig.executions == 1)
     second = rig.alert("j1", 1)
     events = list(rig.site.entries.values())[1].events
-    await until(lambda: any(e.kind == "request.arrived" for e in events.list_events()))
+    await wait_until(
+        lambda: any(e.kind == "request.arrived" for e in events.list_events())
+    )
     for service in services:
         service.faults.frozen = False
     answers = await asyncio.gather(first, second)
@@ -162,14 +164,14 @@
 
 
 async def test_drain_in_mid_stream_cuts_nothing(rig):
-    """The agent of a running stream is stopped gracefully: the stream ends whole,
-    and new work goes elsewhere."""
+    """The agent of a running stream is drained: the stream is completed, and new
+    requests go to other engines."""
     call = rig.stream()
     name = await rig.wait_for_tokens()
     agent = rig.find_agent(name)
     drained = asyncio.ensure_future(agent.drain())
     entries = rig._all()
-    await until(
+    await wait_until(
         lambda: all(
             view.draining
             for entry in entries
@@ -185,9 +187,9 @@
     assert sum(rig.site.engines[name].counters.runs_by_prompt.values()) == before
 
 
-async def test_store_that_is_down_makes_a_true_not_run(rig):
-    """The table service is down, so that no claim can be written. Idempotent work
-    goes on; an alert waits, hears "not run", and runs when it is sent again."""
+async def test_not_run_is_correct_while_the_store_is_down(rig):
+    """The table service is down, so that no claim can be written. Idempotent requests
+    are served; an alert waits, gets "not run", and runs when it is sent again."""
     rig.site.platform.tables.faults.down = True
     refused = await rig.alert("n1")
     assert refused.outcome == "not-run"
@@ -199,14 +201,15 @@
     assert (answer.status, rig.executions) == (201, 1)
 
 
-async def test_store_that_goes_down_in_mid_alert_holds_up_no_answer(rig):
-    """The store goes down after the claim: the alert's answer reaches the caller,
-    and is recorded when the store is back, for a repeat at the other entry."""
+async def test_store_outage_after_the_claim_delays_no_answer(rig):
+    """The store goes down after the claim: the caller gets the alert's answer without
+    delay. It is recorded once the store is available, for a repeat through the other
+    entry."""
     services = rig.site.services.values()
     for service in services:
         service.faults.frozen = True
     call = rig.alert("n2")
-    await until(lambda: rig.executions == 1)
+    await wait_until(lambda: rig.executions == 1)
     rig.site.platform.tables.faults.down = True
     for service in services:
         service.faults.frozen = False
@@ -217,16 +220,16 @@
     assert (again.body, rig.executions) == (answer.body, 1)
 
 
-async def test_repeat_after_the_death_of_the_entry_joins_the_running_alert(rig):
-    """The entry is killed while the alert is with the service. The caller repeats
-    it at another entry, which must neither send it again nor miss its answer:
-    the agent, whose entry is gone, records it."""
+async def test_repeat_after_the_entry_was_killed_joins_the_running_alert(rig):
+    """The entry is killed while the service processes the alert. The caller repeats it
+    through another entry, which must neither send it again nor miss its answer: the
+    agent records the answer, since its entry is gone."""
     process, url = await rig.start_process_entry()
     services = rig.site.services.values()
     for service in services:
         service.faults.frozen = True
     first = rig.alert("e1", url)
-    await until(lambda: rig.executions == 1)
+    await wait_until(lambda: rig.executions == 1)
     process.kill()
     assert await read_status(first) == 0
     second = rig.alert("e1", 1)
@@ -237,16 +240,16 @@
     assert rig.executions == 1
 
 
-async def test_paused_entry_that_wakes_sends_nothing_twice(rig):
+async def test_resumed_entry_sends_nothing_twice(rig):
     """The entry is paused with SIGSTOP while its alert runs; agents close its links.
-    The repeat at another entry hears the recorded answer, and the first entry,
-    woken, gives its own caller the same."""
+    The repeat through another entry gets the recorded answer, and the first entry,
+    once resumed, gives its own caller the same answer or "unknown"."""
     process, url = await rig.start_process_entry()
     services = rig.site.services.values()
     for service in services:
         service.faults.frozen = True
     first = rig.alert("e2", url)
-    await until(lambda: rig.executions == 1)
+    await wait_until(lambda: rig.executions == 1)
     process.send_signal(signal.SIGSTOP)
     second = rig.alert("e2", 1)
     for service in services:
@@ -260,12 +263,12 @@
     assert rig.executions == 1
 
 
-# Pairs of failures.
+# Pairs of faults.
 
 
 async def test_lost_claim_answer_and_dropped_answer_send_one_alert(rig):
     """The store's answer to the claim is lost, then the service's answer as well:
-    each alone invites a repeat of an alert that went out."""
+    either could cause a retry of an alert that was sent."""
     rig.site.platform.tables.faults.lose_answers = 2
     for service in rig.site.services.values():
         service.faults.drop_answers = 1
@@ -275,10 +278,12 @@
     assert rig.executions == 1
 
 
-async def test_engine_that_crashes_as_links_go_silent_costs_no_token(rig):
-    """The links go silent and, before anyone has noticed, the engine dies: the
-    crash is heard over the new link and the stream goes on elsewhere."""
-    await rig.put_relays()
+async def test_stream_loses_no_token_when_links_become_silent_and_its_engine_crashes(
+    rig,
+):
+    """The links become silent and, before the heartbeat timeout, the engine crashes:
+    the crash is reported over the new link and the stream resumes elsewhere."""
+    await rig.insert_relays()
     call = rig.stream()
     name = await rig.wait_for_tokens()
     for relay in rig.relays.values():
@@ -287,8 +292,8 @@
     check_whole(await call)
 
 
-async def test_drained_engine_that_crashes_hands_its_stream_on(rig):
-    """An agent drains and waits for a stream, and then its engine dies."""
+async def test_stream_of_a_draining_engine_that_crashes_resumes_elsewhere(rig):
+    """The engine of a draining agent crashes while the agent waits for a stream."""
     call = rig.stream()
     name = await rig.wait_for_tokens()
     drained = asyncio.ensure_future(rig.find_agent(name).drain())
@@ -297,13 +302,13 @@
     await drained
 
 
-async def test_store_down_and_killed_agent_leave_no_false_word(rig):
-    """The store goes down after the claim, then the agent is killed: nobody can
-    record anything. The first call and each repeat hear "unknown"."""
+async def test_store_outage_and_killed_agent_give_no_false_outcome(rig):
+    """The store goes down after the claim, then the agent is killed, so that nothing
+    can be recorded. The first call and repeats after the outage get "unknown"."""
     process, service = await rig.start_process_agent()
     service.faults.frozen = True
     call = rig.alert("x2")
-    await until(lambda: service.counters.running == 1)
+    await wait_until(lambda: service.counters.running == 1)
     rig.site.platform.tables.faults.down = True
     process.kill()
     assert (await call).outcome == "unknown"
@@ -312,15 +317,16 @@
     rig.site.platform.tables.faults.down = False
     answer = await rig.alert("x2", 1)
     while answer.outcome == "not-run":
-        # The entry may still pause after the outage: repeat, as it is told to.
+        # The entry may still back off after the outage: repeat, as "not run" allows.
         answer = await rig.alert("x2", 1)
     assert answer.outcome == "unknown"
     assert service.counters.executions == 1
 
 
-async def test_stream_that_saw_two_crashes_is_cut_and_never_called_whole(rig):
-    """The engine dies in mid-stream, and so does the one that goes on: by then the
-    request is held for the cause. Its caller sees a stream without an end mark."""
+async def test_stream_is_cut_without_an_end_mark_after_two_crashes(rig):
+    """The engine crashes in mid-stream, and so does the one that resumes the stream:
+    the request then counts as the cause. Its caller gets a stream without an end
+    mark."""
     seen = []
     body = {"model": rig.model, "prompt": PROMPT, "max_tokens": TOKENS, "stream": True}
     url = f"{rig.entries[0]}/v1/completions"
@@ -328,7 +334,7 @@
     status = asyncio.ensure_future(read_status(call))
     first = await rig.wait_for_tokens()
     crashed = asyncio.ensure_future(rig.site.engines[first].crash())
-    await until(lambda: rig.find_running() not in ("", first))
+    await wait_until(lambda: rig.find_running() not in ("", first))
     await rig.site.engines[rig.find_running()].crash()
     await asyncio.gather(crashed, status)
     text, done = read_stream_text(b"".join(seen))
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -1,4 +1,4 @@
-"""Tests that are listed as known to fail don't fail a run; all others do."""
+"""Tests of `conftest.py`: listed tests may fail, all others fail the run."""
 
 import shutil
 import subprocess
--- a/tests/test_paths.py
+++ b/tests/test_paths.py
@@ -1,4 +1,4 @@
-"""The whole path over real sockets: callers, entries, agents, stand-ins."""
+"""The whole request path over real sockets: callers, entries, agents, stand-ins."""
 
 import openai
 import pytest
@@ -14,7 +14,7 @@
 
 
 @pytest.mark.parametrize("name", SITE_NAMES)
-async def test_demo_ends_well(name):
+async def test_demo_succeeds(name):
     assert await Demo(name).run()
 
 
@@ -42,7 +42,7 @@
     assert read_stream_text(answer.body) == (expected_text("Draft it", 5), True)
 
 
-async def test_wrong_key_is_refused_in_the_shape_of_the_api(site):
+async def test_wrong_key_is_refused_with_an_error_of_the_api(site):
     stranger = SiteClient("no-such-key")
     answer = await stranger.chat(get_entry(site), "any", "x", 1, stream=False)
     stranger.close()
--- a/tests/test_policies.py
+++ b/tests/test_policies.py
@@ -1,4 +1,4 @@
-"""The decisions as a whole: regression bounds and golden files of two swings."""
+"""The decision code as a whole: regression bounds and recorded decisions."""
 
 from dataclasses import replace
 
@@ -11,14 +11,14 @@
 SECONDS = 16.0
 
 
-def swing(at):
+def alternating_mix(at):
     return 0.85 if at < SECONDS / 2 else 0.2
 
 
 @pytest.mark.parametrize("user", USERS, ids=lambda user: user.name)
 def test_decisions_of_a_swing_are_as_recorded(user, snapshot):
     scenario = next(s for s in SCENARIOS if s.name == "peak 1.0")
-    scenario = replace(scenario, seconds=SECONDS, load=0.3, mix=swing)
+    scenario = replace(scenario, seconds=SECONDS, load=0.3, mix=alternating_mix)
     run, arrivals = play(user, scenario, make_policies(user)[0], 5)
     outcomes = [
         f"{answer.at:.3f} {answer.arrival.name} {answer.outcome}"
--- a/tests/test_processes.py
+++ b/tests/test_processes.py
@@ -1,4 +1,4 @@
-"""The parts of a site as separate processes, driven by the operators' command."""
+"""A site of separate processes, managed with the operators' command."""
 
 import json
 import os
@@ -18,12 +18,12 @@
 SITE = EXAMPLES / "syndesmos"
 OPERATOR_KEY = "syndesmos-example-operator-key"
 CALLER_KEY = "syndesmos-example-host-desk-key"
-LIMIT = 60
-"""Seconds after which a process that hangs fails the test."""
+TIMEOUT = 60
+"""Seconds after which a process that does not respond fails the test."""
 
 
 class Processes:
-    """Starts processes and keeps what they write in files."""
+    """Starts processes and writes their output to files."""
 
     def __init__(self, folder: Path, stack: ExitStack):
         self._folder = folder
@@ -35,7 +35,7 @@
         command = [sys.executable, "-m", module, *map(str, arguments)]
         process = subprocess.Popen(command, stdout=output)
         self.running[name] = process
-        self._stack.callback(process.wait, LIMIT)
+        self._stack.callback(process.wait, TIMEOUT)
         self._stack.callback(process.kill)
 
     def get_log(self, name: str) -> Path:
@@ -44,13 +44,13 @@
     def stop(self, name: str) -> int:
         process = self.running[name]
         process.send_signal(signal.SIGTERM)
-        return process.wait(LIMIT)
+        return process.wait(TIMEOUT)
 
 
 def reserve_ports(count: int) -> list[int]:
-    """Return free ports below those that the system gives to outgoing calls.
+    """Return free ports below those that the system uses for outgoing connections.
 
-    So that no other test takes one before its process listens.
+    Otherwise another test could take one before the process listens on it.
     """
     ports = []
     port = 20_000 + os.getpid() % 100 * 100
@@ -64,25 +64,25 @@
     return ports
 
 
-def ask(method: str, url: str, body: object = None, key: str = "") -> tuple:
+def send_request(method: str, url: str, body: object = None, key: str = "") -> tuple:
     data = None if body is None else json.dumps(body).encode()
     headers = {"Authorization": f"Bearer {key}", "Idempotency-Key": "k-1"}
     request = Request(url, data, headers, method=method)
-    with urlopen(request, timeout=LIMIT) as response:
+    with urlopen(request, timeout=TIMEOUT) as response:
         return response.headers["Mustardquay-Outcome"], response.read()
 
 
-def wait_until(holds) -> None:
-    """Ask again until it holds; fail when it does not in time."""
-    end = time.monotonic() + LIMIT
+def wait_until(condition) -> None:
+    """Poll until the condition holds; fail after the timeout."""
+    end = time.monotonic() + TIMEOUT
     while time.monotonic() < end:
         try:
-            if holds():
+            if condition():
                 return
         except OSError:
             pass
         time.sleep(0.05)
-    pytest.fail("A process did not get ready.")
+    pytest.fail("A process was not ready in time.")
 
 
 def run_command(admin: list[str], *arguments: object) -> str:
@@ -93,14 +93,14 @@
     code = "from mustardquay_cli.commands import main; main()"
     command = [sys.executable, "-c", code, *map(str, arguments)]
     result = subprocess.run(
-        command, capture_output=True, text=True, timeout=LIMIT, env=environment
+        command, capture_output=True, text=True, timeout=TIMEOUT, env=environment
     )
     assert result.returncode == 0, result.stderr
     return result.stdout
 
 
 def write_settings(folder: Path, ports: dict[str, int]) -> dict[str, list[Path]]:
-    """Return the files of each process, the last one with the ports of this run."""
+    """Return the settings files of each process; the last has the ports of this run."""
     platform = "".join(
         f"{name} = http://127.0.0.1:{ports[name]}\n"
         for name in ("tables", "objects", "instances")
@@ -119,9 +119,13 @@
         ]
         if upstream:
             lines.append(f"upstream = http://127.0.0.1:{ports[upstream]}\n")
-        own = folder / f"{name}.ini"
-        own.write_text("".join(lines))
-        files[name] = [SITE / "common.ini", SITE / "processes" / f"{name}.ini", own]
+        own_settings = folder / f"{name}.ini"
+        own_settings.write_text("".join(lines))
+        files[name] = [
+            SITE / "common.ini",
+            SITE / "processes" / f"{name}.ini",
+            own_settings,
+        ]
     return files
 
 
@@ -143,7 +147,7 @@
 
 @pytest.fixture
 def site(tmp_path):
-    """Give a site of seven processes that is ready, and its ports."""
+    """Provide a site of seven processes that is ready, and its ports."""
     standins = ("tables", "objects", "weights", "instances", "engine", "service")
     nodes = ("agent-assistant-1", "agent-bookings-1", "entry-1")
     names = (*standins, *nodes, *(f"admin-{node}" for node in nodes))
@@ -159,29 +163,29 @@
         service = ("--kind", "service", "--port", ports["service"])
         processes.start("service", upstream, *service)
         listed = f"http://127.0.0.1:{ports['instances']}/instances"
-        wait_until(lambda: ask("PUT", listed, list_instances(ports)))
+        wait_until(lambda: send_request("PUT", listed, list_instances(ports)))
         for name in nodes:
             processes.start(name, "mustardquay_node.programs", *files[name])
         for name in nodes:
             ready = f"http://127.0.0.1:{ports['admin-' + name]}/readyz"
-            wait_until(lambda url=ready: ask("GET", url))
-        # The entry is ready with its first upstream, and here both are called.
+            wait_until(lambda url=ready: send_request("GET", url))
+        # The entry is ready with its first upstream, but the test calls both.
         status = f"http://127.0.0.1:{ports['admin-entry-1']}/admin/status"
         wait_until(lambda: count_ready(status) == 2)
         yield processes, ports
 
 
 def count_ready(status: str) -> int:
-    """Return how many upstreams the entry reaches."""
-    _, answer = ask("GET", status, key=OPERATOR_KEY)
+    """Return the number of ready upstreams in the entry's status."""
+    _, answer = send_request("GET", status, key=OPERATOR_KEY)
     upstreams = json.loads(answer)["upstreams"]
     return sum(upstream["state"] == "ready" for upstream in upstreams)
 
 
-def test_a_site_of_separate_processes_is_driven_by_the_command(site, tmp_path):
-    # Operators apply a contract and callers are served by processes that only know
-    # their settings; each then stops gracefully, and the time line is put together
-    # from what they logged.
+def test_a_site_of_separate_processes_is_managed_by_the_command(site, tmp_path):
+    # An operator applies a contract to processes that were started with their settings
+    # alone, and callers are served. Each process then stops gracefully, and the
+    # timeline from their logs is the same as that of the running processes.
     processes, ports = site
     nodes = ("entry-1", "agent-assistant-1", "agent-bookings-1")
     admin = [f"http://127.0.0.1:{ports['admin-' + name]}" for name in nodes]
@@ -196,13 +200,13 @@
         "max_tokens": 5,
     }
     chat = f"{entry}/v1/chat/completions"
-    outcome, answer = ask("POST", chat, body, CALLER_KEY)
+    outcome, answer = send_request("POST", chat, body, CALLER_KEY)
     assert outcome == "answered"
     assert json.loads(answer)["usage"]["completion_tokens"] == 5
     booking = f"{entry}/services/bookings/bookings"
-    first = ask("POST", booking, {"booth": 3}, CALLER_KEY)
+    first = send_request("POST", booking, {"booth": 3}, CALLER_KEY)
     assert first[0] == "answered"
-    assert ask("POST", booking, {"booth": 3}, CALLER_KEY) == first
+    assert send_request("POST", booking, {"booth": 3}, CALLER_KEY) == first
     live = run_command(admin, "timeline", "--customer", "host-desk")
     assert [processes.stop(name) for name in nodes] == [0, 0, 0]
     logs = [word for name in nodes for word in ("--log", processes.get_log(name))]
--- a/tests/test_stop_faults.py
+++ b/tests/test_stop_faults.py
@@ -1,4 +1,4 @@
-"""What comes to an entry while it stops, over real sockets."""
+"""Requests that reach an entry while it stops, over real sockets."""
 
 import asyncio
 import json
@@ -19,11 +19,11 @@
     await running.close()
 
 
-async def test_a_body_whose_rest_comes_in_a_stop_is_not_run(site):
+async def test_a_request_whose_body_arrives_during_a_stop_is_not_run(site):
     """
-    A caller sends the head of its request before an entry is told to stop, and the body
-    after that. The entry refuses new work, but asked only when the head came; the call
-    runs, and is cut off if the time to drain ends before it.
+    A caller sends the head of its request before the entry begins to stop, and the body
+    after that. An entry that checks for a stop only when the head arrives would run the
+    call, and cut it off if the drain timeout passes first.
     """
     name, entry = next(iter(site.entries.items()))
     body = json.dumps(
@@ -41,7 +41,7 @@
         f"Content-Length: {len(body)}\r\n\r\n".encode()
     )
     await asyncio.sleep(0.2)
-    # Something else that runs keeps the stop from its end.
+    # Another request in flight keeps the stop from completing.
     with entry._in_flight.hold():
         site.entries.pop(name)
         closing = asyncio.create_task(entry.close())
