--- a/packages/mustardquay-node/src/mustardquay_node/digest_exchanges.py
+++ b/packages/mustardquay-node/src/mustardquay_node/digest_exchanges.py
@@ -5,7 +5,7 @@
 
 from mustardquay.clocks import Clock
 from mustardquay.peer_digests import PeerDigest
-from mustardquay.rate_limits import LimitBook
+from mustardquay.rate_limits import RateLimiter
 
 from .configuration_loaders import ConfigurationLoader
 from .crash_reporters import CrashReporter
@@ -25,7 +25,7 @@
     planner: GenerationPlanner
     stop: GatewayStop
     crashes: CrashReporter
-    limits: LimitBook
+    limits: RateLimiter
     configurations: ConfigurationLoader
     is_ready: Callable[[], bool]
     fetch_configuration: Callable[[], None]
@@ -53,14 +53,14 @@
         digest = deps.planner.build_digest(
             deps.name, self._incarnation, self._number, deps.configurations.version
         )
-        knows_limits = deps.limits.knows_any(now)
+        knows_limits = deps.limits.has_limits(now)
         return replace(
             digest,
             crashes=deps.crashes.list_recent_changes(),
             availability_zone=deps.availability_zone,
             is_ready=deps.is_ready(),
-            limits=deps.limits.tell(now),
-            demands=deps.limits.demand.tell(now) if knows_limits else None,
+            limits=deps.limits.list_notices(now),
+            demands=deps.limits.demand.list_demands(now) if knows_limits else None,
             ends_in=deps.stop.ends_in,
         )
 
@@ -81,11 +81,11 @@
     def set_gateways(self, senders: Collection[str], others: int) -> None:
         """Note the gateways that send digests here, and the number of the others."""
         now = self._deps.clock.monotonic()
-        self._deps.limits.demand.list_gateways(senders, others, now)
+        self._deps.limits.demand.set_gateways(senders, others, now)
         self._deps.planner.set_gateway_counts(len(senders), others)
 
     def _apply_limits(self, digest: PeerDigest) -> None:
         now = self._deps.clock.monotonic()
-        self._deps.limits.demand.hear(digest.gateway, digest.demands, now)
+        self._deps.limits.demand.apply_demands(digest.gateway, digest.demands, now)
         for notice in digest.limits:
-            self._deps.limits.hear_notice(notice, now)
+            self._deps.limits.apply_notice(notice, now)
--- a/packages/mustardquay-node/src/mustardquay_node/forwardings.py
+++ b/packages/mustardquay-node/src/mustardquay_node/forwardings.py
@@ -2,7 +2,7 @@
 
 The stages are: parse the request and find its route, choose an upstream, send
 (`sends`, `handovers`), and act on the result of the send. Whether a request is sent
-again is decided in `mustardquay.sendings`, its upstream in `placements` and
+again is decided in `mustardquay.retry_decisions`, its upstream in `placements` and
 `upstream_loads`; answers to the caller are written in `replies`.
 """
 
@@ -12,12 +12,17 @@
 
 from mustardquay.errors import ProtocolError
 from mustardquay.requests import SendResult
+from mustardquay.retry_decisions import (
+    NextStep,
+    PrefillState,
+    count_repeats,
+    decide_next,
+)
 from mustardquay.routing_tables import Repeat, RoutingTable, choose_backend
-from mustardquay.sendings import NextStep, ReadingState, count_repeats, decide_next
-from mustardquay.stops import Demand
+from mustardquay.stops import RequestEstimate
 from mustardquay.upstream_lists import UpstreamRecord
 from mustardquay.upstream_loads import choose_plain
-from mustardquay.version_books import TableState
+from mustardquay.version_trackers import TableState
 
 from .caller_connections import CallerAnswer, CallerRequest
 from .forwarder_dependencies import ForwardedRequest, ForwarderDependencies
@@ -161,9 +166,11 @@
     return True
 
 
-def _estimate_demand(deps: ForwarderDependencies, request: ForwardedRequest) -> Demand:
+def _estimate_demand(
+    deps: ForwarderDependencies, request: ForwardedRequest
+) -> RequestEstimate:
     now = deps.clock.monotonic()
-    return Demand(
+    return RequestEstimate(
         request.measure_time_left(now),
         deps.times.find_longest(request.route.name, now),
         request.max_output_tokens,
@@ -196,7 +203,7 @@
                 return
             self._request.send_history.note(send.end)
             self._request.last_end = send.end.value
-            self._request.send_history.events_passed = self._reply.has_begun
+            self._request.send_history.has_sent_events = self._reply.has_begun
             if send.end is SendResult.ANSWERED and send.passed:
                 self._sender.log(send, "answered")
                 self._reply.end_stream()
@@ -238,7 +245,7 @@
             upstream=request.upstream,
             passed=reply.passed,
             held_back=self._sender.has_partial_event,
-            sends=request.send_history.offered,
+            sends=request.send_history.attempts,
             age_ms=reply.age_ms,
             **request.incoming.describe_connection(),
         )
@@ -262,7 +269,7 @@
         Incomplete ones count too, as they are those that take the longest.
         """
         request = self._request
-        if request.expected is not None and request.send_history.offered <= 1:
+        if request.expected is not None and request.send_history.attempts <= 1:
             self._deps.latency_margins.note(
                 request.route,
                 request.expected,
@@ -294,7 +301,7 @@
             deps.availability_zone,
             deps.random,
             request.avoid,
-            lambda record: deps.limits.expect_wait(record, now),
+            lambda record: deps.limits.predict_wait(record, now),
         )
         if upstream is None:
             return None
@@ -305,7 +312,7 @@
     ) -> Send | None:
         """Send when the upstream's rate limit allows it; None if that is too late."""
         deps, request = self._deps, self._request
-        wait_time = timedelta(seconds=deps.limits.expect_wait(upstream, now))
+        wait_time = timedelta(seconds=deps.limits.predict_wait(upstream, now))
         if wait_time > RATE_LIMIT_WAIT_SHARE * request.route.latency_target:
             # Jitter keeps callers refused together from retrying at the same time.
             retry_after = wait_time * (1 + deps.random.random())
@@ -347,14 +354,14 @@
         window = self._deps.pools.get_window(request.service)
         return not sends or window.take(now, sends)
 
-    def _find_prefill_state(self) -> ReadingState:
+    def _find_prefill_state(self) -> PrefillState:
         """Return whether a retry can use the prompt that was already prefilled."""
         deps, request = self._deps, self._request
         if request.prefill is None:
-            return ReadingState.NONE
+            return PrefillState.NONE
         engines = deps.upstreams.list_usable(request.service)
         loss = deps.planner.find_prefill_loss(request.prefill, engines, request.avoid)
-        return ReadingState.KEPT if loss is None else ReadingState.LOST
+        return PrefillState.KEPT if loss is None else PrefillState.LOST
 
     def _choose_final_step(self, send: Send) -> NextStep:
         """Return the last step if the retry allowance has no room for another send."""
--- a/packages/mustardquay-node/src/mustardquay_node/gateways.py
+++ b/packages/mustardquay-node/src/mustardquay_node/gateways.py
@@ -14,9 +14,9 @@
 from mustardquay.clocks import BootTimeClock, Clock, SystemClock
 from mustardquay.events import Event, EventRing, HybridClock
 from mustardquay.routing_tables import CallerLimits, RoutingTable
-from mustardquay.stops import BALANCER_NOTICE
+from mustardquay.stops import BALANCER_REMOVAL_DELAY
 from mustardquay.upstream_lists import Stage, UpstreamRecord
-from mustardquay.version_books import TableState
+from mustardquay.version_trackers import TableState
 
 from .adapters import Adapter, load_adapter
 from .cache_probes import CacheProbe, CacheProbeDependencies
@@ -160,11 +160,11 @@
     def _warn_of_short_drain(self) -> None:
         """Warn of a drain timeout shorter than the load balancer needs to react."""
         timeout = self._settings.gateway.drain_timeout
-        if timeout < BALANCER_NOTICE:
+        if timeout < BALANCER_REMOVAL_DELAY:
             self._events.record(
                 "settings.short_drain",
                 drain_ms=timeout // timedelta(milliseconds=1),
-                least_ms=BALANCER_NOTICE // timedelta(milliseconds=1),
+                least_ms=BALANCER_REMOVAL_DELAY // timedelta(milliseconds=1),
                 remedy="Raise drain_timeout; callers arrive until the balancer reacts.",
             )
 
--- a/packages/mustardquay-node/src/mustardquay_node/generation_planners.py
+++ b/packages/mustardquay-node/src/mustardquay_node/generation_planners.py
@@ -22,7 +22,7 @@
 from mustardquay.generation_limits import LATE_RANK
 from mustardquay.peer_digests import EngineDigest, PeerDigest, PlacedPart, trim_ranks
 from mustardquay.placements import Placement, choose_decoder, choose_engines
-from mustardquay.rate_limits import LimitBook, Turn
+from mustardquay.rate_limits import RateLimiter, Reservation
 from mustardquay.requests import PromptPart, PromptTraits
 from mustardquay.retained_prefills import PrefillLoss, find_prefill_loss
 from mustardquay.routing_tables import Route, RoutingTable
@@ -46,8 +46,8 @@
     is_prefilled: bool = False
     is_running: bool = False
     """Whether it occupies a slot of the decoder."""
-    reader_reservation: Turn | None = None
-    decoder_reservation: Turn | None = None
+    reader_reservation: Reservation | None = None
+    decoder_reservation: Reservation | None = None
     """Set if the decoder is not the reader."""
 
 
@@ -73,7 +73,7 @@
         loads: UpstreamLoads,
         models: EngineModels | None = None,
         uplink: Uplink | None = None,
-        limits: LimitBook | None = None,
+        limits: RateLimiter | None = None,
         note_change: Callable[[], None] = lambda: None,
         random: Random | None = None,
     ):
@@ -87,7 +87,7 @@
         self._upstreams = upstreams
         self._uplink = uplink or Uplink()
         self._models = models or EngineModels()
-        self._limits = limits or LimitBook()
+        self._limits = limits or RateLimiter()
         self._states = EngineStates(
             loads, OutstandingWork(), PrefixCaches(), self._models, limits=self._limits
         )
@@ -111,7 +111,7 @@
         self._states.works.peers.expire(now)
         parts = hash_parts(prompt.parts)
         engines = self._exclude_changing(engines)
-        sending = self._uplink.measure(size, now)
+        sending = self._uplink.predict_time(size, now)
         return choose_engines(
             prompt,
             parts,
@@ -160,7 +160,7 @@
     ) -> Ticket:
         """Account for a placement that is about to be sent, of `size` bytes."""
         sends = 1 if placement.prefiller is None else 2
-        self._uplink.take(size * sends, self._clock.monotonic())
+        self._uplink.enqueue(size * sends, self._clock.monotonic())
         reader = placement.reader.id
         self._add_prefill_work(reader, placement.prefill_seconds, rank)
         self._models.note_placed(placement.reader.service, placement.prefill_seconds)
--- a/packages/mustardquay-node/src/mustardquay_node/rate_reservations.py
+++ b/packages/mustardquay-node/src/mustardquay_node/rate_reservations.py
@@ -3,14 +3,16 @@
 import asyncio
 from datetime import timedelta
 
-from mustardquay.rate_limits import Turn
+from mustardquay.rate_limits import Reservation
 
 from .forwarder_dependencies import ForwarderDependencies
 
 __all__ = ["await_reservation"]
 
 
-async def await_reservation(deps: ForwarderDependencies, reservation: Turn) -> None:
+async def await_reservation(
+    deps: ForwarderDependencies, reservation: Reservation
+) -> None:
     """Wait until the time of a reservation, and mark it as used."""
     left = reservation.at - deps.clock.monotonic()
     if left > timedelta():
--- a/packages/mustardquay-node/src/mustardquay_node/recorders.py
+++ b/packages/mustardquay-node/src/mustardquay_node/recorders.py
@@ -13,13 +13,13 @@
 from mustardquay.claims import (
     CLAIMS,
     Claim,
+    ClaimDecision,
     ClaimKey,
+    ClaimResult,
     ClaimState,
-    Judgement,
     RecordedAnswer,
-    Verdict,
     decode_claim,
-    judge_claim,
+    resolve_claim,
 )
 from mustardquay.clocks import Clock
 from mustardquay.errors import Reason, Refusal, StoreResultUnknown, StoreUnavailable
@@ -98,7 +98,7 @@
         attempt: str,
         store_deadline: timedelta,
         finish_by: timedelta,
-    ) -> Judgement:
+    ) -> ClaimResult:
         """Return what a request with this key may do; never `JOIN`.
 
         Until `store_deadline`, a monotonic instant, an unavailable store is waited for.
@@ -107,13 +107,13 @@
         monotonic instant of the request's deadline.
         """
         while True:
-            judged = await self._write_claim(
+            resolved = await self._write_claim(
                 key, digest, attempt, store_deadline, finish_by
             )
-            if judged.verdict is Verdict.JOIN:
-                judged = await self._await_claim(judged.claim, finish_by)
-            if judged.verdict is not Verdict.JOIN:
-                return await self._load_body(judged, finish_by)
+            if resolved.decision is ClaimDecision.JOIN:
+                resolved = await self._await_claim(resolved.claim, finish_by)
+            if resolved.decision is not ClaimDecision.JOIN:
+                return await self._load_body(resolved, finish_by)
 
     def record_answer(
         self, claim: Claim, answer: RecordedAnswer
@@ -153,7 +153,7 @@
         attempt: str,
         store_deadline: timedelta,
         finish_by: timedelta,
-    ) -> Judgement:
+    ) -> ClaimResult:
         if self._writer.full:
             return _refuse(Reason.OVERLOAD, "Too many claims wait for the store")
         claim = self._make_claim(key, digest, attempt, finish_by)
@@ -183,7 +183,7 @@
             expires=now + self._lifetime,
         )
 
-    async def _await_claim(self, held: Claim, finish_by: timedelta) -> Judgement:
+    async def _await_claim(self, held: Claim, finish_by: timedelta) -> ClaimResult:
         """Poll the claim of a running attempt until it is final or out of time."""
         changed = asyncio.Event()
         watchers = self._changed.setdefault(held.key.row_key, set())
@@ -193,12 +193,12 @@
             while True:
                 remaining = finish_by - self._clock.monotonic()
                 if remaining <= timedelta():
-                    return Judgement(Verdict.UNKNOWN, held)
+                    return ClaimResult(ClaimDecision.UNKNOWN, held)
                 await self._pause(changed, min(pause, remaining))
                 pause = min(2 * pause, POLL_CAP)
-                judged = await self._poll_claim(held)
-                if judged is not None:
-                    return judged
+                resolved = await self._poll_claim(held)
+                if resolved is not None:
+                    return resolved
         finally:
             watchers.discard(changed)
             if not watchers:
@@ -212,7 +212,7 @@
             return
         changed.clear()
 
-    async def _poll_claim(self, held: Claim) -> Judgement | None:
+    async def _poll_claim(self, held: Claim) -> ClaimResult | None:
         """Return the result for a claim that is polled, or None to go on polling.
 
         `JOIN` means that the claim was released, so that the key is free again.
@@ -222,10 +222,10 @@
         except StoreUnavailable:
             return None
         follower = replace(held, id="")
-        judged = judge_claim(follower, row, self._clock.now())
-        if isinstance(judged, Claim):
-            return Judgement(Verdict.JOIN, held)
-        return None if judged.verdict is Verdict.JOIN else judged
+        resolved = resolve_claim(follower, row, self._clock.now())
+        if isinstance(resolved, Claim):
+            return ClaimResult(ClaimDecision.JOIN, held)
+        return None if resolved.decision is ClaimDecision.JOIN else resolved
 
     def _end(
         self, claim: Claim, state: ClaimState, answer: RecordedAnswer | None = None
@@ -257,10 +257,12 @@
         if not result.done():
             result.set_result(written)
 
-    async def _load_body(self, judged: Judgement, finish_by: timedelta) -> Judgement:
-        answer = judged.answer
+    async def _load_body(
+        self, resolved: ClaimResult, finish_by: timedelta
+    ) -> ClaimResult:
+        answer = resolved.answer
         if answer is None or not answer.object_name:
-            return judged
+            return resolved
         retry = 0
         while self._clock.monotonic() < finish_by:
             retry += 1
@@ -271,16 +273,18 @@
                 continue
             if body is None:
                 break
-            return replace(judged, answer=replace(answer, body=body))
-        return Judgement(Verdict.UNKNOWN, judged.claim)
+            return replace(resolved, answer=replace(answer, body=body))
+        return ClaimResult(ClaimDecision.UNKNOWN, resolved.claim)
 
     def _choose_pause(self, retry: int) -> float:
         return choose_backoff(retry, timedelta.max, self._random).total_seconds()
 
 
-def _refuse(reason: Reason, message: str) -> Judgement:
+def _refuse(reason: Reason, message: str) -> ClaimResult:
     text = (
         f"{message}; this call was not run. Send it again with the same key: it is "
         "told if an earlier call ran."
     )
-    return Judgement(Verdict.REFUSED, refusal=Refusal(reason, text, RETRY_AFTER))
+    return ClaimResult(
+        ClaimDecision.REFUSED, refusal=Refusal(reason, text, RETRY_AFTER)
+    )
--- a/packages/mustardquay-node/src/mustardquay_node/sends.py
+++ b/packages/mustardquay-node/src/mustardquay_node/sends.py
@@ -351,7 +351,7 @@
             return
         id = send.upstream.id
         now = self._deps.clock.monotonic()
-        change = self._deps.limits.hear(id, facts.rate_limit, now)
+        change = self._deps.limits.update(id, facts.rate_limit, now)
         if change is not None:
             self._deps.events.record(
                 "upstream.limited",
--- a/packages/mustardquay-standins/src/mustardquay_standins/states.py
+++ b/packages/mustardquay-standins/src/mustardquay_standins/states.py
@@ -1,4 +1,4 @@
-"""States: what an engine stand-in really is, and the orders that change it."""
+"""States: the state of an engine stand-in, and the orders that change it."""
 
 import asyncio
 from collections.abc import Awaitable, Callable
@@ -11,64 +11,64 @@
 
 from mustardquay import Role
 
-__all__ = ["EngineOrders", "OrderCounters", "Substance"]
+__all__ = ["EngineOrders", "OrderCounters", "EngineSetup"]
 
 Change = Callable[[], Awaitable[None]]
-LOAD_RETRY = 0.2
-"""Seconds until the weight store is asked again without a `Retry-After`."""
+LOAD_RETRY_DELAY = 0.2
+"""Seconds between attempts to load weights, where there is no `Retry-After`."""
 
 
 @dataclass(frozen=True, slots=True)
-class Substance:
-    """What an engine is apart from numbers: its role, models and adapters."""
+class EngineSetup:
+    """The role of an engine, and the models and adapters that it has loaded."""
 
     role: Role = Role.MIXED
     models: dict[str, str] = field(default_factory=lambda: {"model": "1"})
-    """Version by name of model."""
+    """Version by model name."""
     adapters: tuple[str, ...] = ()
 
 
 @dataclass(slots=True)
 class OrderCounters:
-    """The orders that an engine has received."""
+    """Counters of the orders that an engine has received."""
 
     accepted: int = 0
     conflicting: int = 0
-    """Received while another order was carried out."""
+    """Received while another order was being executed."""
     stale: int = 0
-    """Received with a fencing number under the highest seen."""
+    """Received with a fencing number below the highest seen."""
     stale_applied: int = 0
-    """Those of them that were carried out, by an engine that ignores fences."""
+    """Stale orders that were executed, by an engine that ignores fences."""
     highest_fence: int = 0
-    """Over all boots, as an observer sees it."""
+    """Over all boots, also if the engine itself has lost it in a crash."""
 
 
 class EngineOrders:
-    """The real state of one engine, changed by one order at a time."""
+    """The state of one engine, changed by one order at a time."""
 
     def __init__(
         self,
-        substance: Substance,
+        setup: EngineSetup,
         counters: OrderCounters,
         change_time: timedelta,
         weights_url: str,
-        cut: Callable[[], None],
+        interrupt: Callable[[], None],
     ):
-        self._substance = substance
+        self._setup = setup
         self._counters = counters
         self._change_time = change_time
         self._weights_url = weights_url
-        self._cut = cut
+        self._interrupt = interrupt
         self._fence = 0
         self._generation = 0
         self._boot = 1
         self._changing = False
-        self._away = False
+        self._unavailable = False
 
     @property
-    def substance(self) -> Substance:
-        """Return what the engine is now."""
-        return self._substance
+    def setup(self) -> EngineSetup:
+        """Return the role, models and adapters of the engine."""
+        return self._setup
 
     @property
     def boot(self) -> int:
@@ -77,46 +77,46 @@
 
     @property
     def generation(self) -> int:
-        """Return the generation of the last order that was done, or 0."""
+        """Return the generation of the last completed order, or 0."""
         return self._generation
 
     @property
     def changing(self) -> bool:
-        """Return whether an order is being carried out."""
+        """Return whether an order is being executed."""
         return self._changing
 
     @property
-    def away(self) -> bool:
-        """Return whether a change keeps the engine from generating."""
-        return self._away
+    def unavailable(self) -> bool:
+        """Return whether an order keeps the engine from generating."""
+        return self._unavailable
 
     def show(self) -> dict[str, Any]:
-        """Return the state as `GET /state` answers it."""
+        """Return the body of `GET /state`."""
         return {
             "boot": self._boot,
             "fence": self._fence,
             "generation": self._generation,
-            "role": self._substance.role,
-            "models": self._substance.models,
-            "adapters": self._substance.adapters,
+            "role": self._setup.role,
+            "models": self._setup.models,
+            "adapters": self._setup.adapters,
             "changing": self._changing,
         }
 
     def check_model(self, model: str, adapter: str) -> str:
-        """Return why a request can't be run here, or an empty string."""
-        if model not in self._substance.models:
-            if model not in self._substance.adapters:
+        """Return why the engine can't run a request, or an empty string."""
+        if model not in self._setup.models:
+            if model not in self._setup.adapters:
                 return f"model {model} is not loaded"
-        if adapter and adapter not in self._substance.adapters:
+        if adapter and adapter not in self._setup.adapters:
             return f"adapter {adapter} is not loaded"
         return ""
 
     def receive(
         self, order: dict[str, Any], ignore_fences: bool
     ) -> tuple[int, dict[str, Any], Change | None]:
-        """Accept or refuse an order; returns status, body and what carries it out."""
+        """Accept or refuse an order; returns status, body and the work to execute."""
         fence, generation = int(order["fence"]), int(order["generation"])
-        wanted = Substance(
+        wanted = EngineSetup(
             Role(order["role"]), dict(order["models"]), tuple(order["adapters"])
         )
         highest = self._counters.highest_fence
@@ -137,35 +137,35 @@
         return 202, {}, lambda: self._carry_out(wanted, generation, boot)
 
     def crash(self, random: Random, forget_fence: bool) -> None:
-        """Begin a new boot, with some of the models and adapters lost."""
+        """Begin a new boot; some of the models and all adapters are lost."""
         self._boot += 1
         self._generation = 0
         self._changing = False
-        self._away = False
+        self._unavailable = False
         if forget_fence:
             self._fence = 0
         kept = {
             name: version
-            for name, version in self._substance.models.items()
+            for name, version in self._setup.models.items()
             if random.random() < 0.5
         }
-        self._substance = replace(self._substance, models=kept, adapters=())
+        self._setup = replace(self._setup, models=kept, adapters=())
 
-    async def _carry_out(self, wanted: Substance, generation: int, boot: int) -> None:
-        present = self._substance
+    async def _carry_out(self, wanted: EngineSetup, generation: int, boot: int) -> None:
+        present = self._setup
         if (wanted.role, wanted.models) != (present.role, present.models):
-            self._away = True
-            self._cut()
+            self._unavailable = True
+            self._interrupt()
         for name, version in wanted.models.items():
             if present.models.get(name) != version:
                 await self._load_weights(name, version)
         await asyncio.sleep(self._change_time.total_seconds())
         if boot != self._boot:
             return
-        self._substance = wanted
+        self._setup = wanted
         self._generation = generation
         self._changing = False
-        self._away = False
+        self._unavailable = False
 
     async def _load_weights(self, name: str, version: str) -> None:
         url = f"{self._weights_url}/weights/{name}/{version}"
@@ -175,7 +175,7 @@
                 return
             except HTTPError as error:
                 headers = error.response.headers if error.response else {}
-                wait = float(headers.get("Retry-After", LOAD_RETRY))
+                wait = float(headers.get("Retry-After", LOAD_RETRY_DELAY))
             except OSError:
-                wait = LOAD_RETRY
+                wait = LOAD_RETRY_DELAY
             await asyncio.sleep(wait)
--- a/packages/mustardquay/src/mustardquay/engine_states.py
+++ b/packages/mustardquay/src/mustardquay/engine_states.py
@@ -9,7 +9,7 @@
 
 from .engine_models import EngineModels
 from .peer_digests import LOWEST_RANK, PeerDigests, make_ranks
-from .rate_limits import LimitBook
+from .rate_limits import RateLimiter
 from .requests import PromptPart
 from .upstream_lists import Stage
 from .upstream_loads import UpstreamLoads
@@ -135,4 +135,4 @@
     models: EngineModels
     pauses: dict[str, timedelta] = field(default_factory=dict)
     """The strictest limit on pauses among the routes of each service."""
-    limits: LimitBook = field(default_factory=LimitBook)
+    limits: RateLimiter = field(default_factory=RateLimiter)
--- a/packages/mustardquay/tests/test_placements.py
+++ b/packages/mustardquay/tests/test_placements.py
@@ -199,7 +199,7 @@
 
 def limit(states, engine, per_second):
     """Have an engine announce a limit and delay the next request by the maximum."""
-    states.limits.hear(engine, per_second, NOW)
+    states.limits.update(engine, per_second, NOW)
 
 
 def test_rate_limited_engines_are_avoided():
--- a/packages/mustardquay/tests/test_sendings.py
+++ b/packages/mustardquay/tests/test_retry_decisions.py
@@ -4,8 +4,8 @@
 import pytest
 
 from mustardquay.requests import SendResult
+from mustardquay.retry_decisions import NextStep, SendHistory, decide_next
 from mustardquay.routing_tables import Repeat, Route
-from mustardquay.sendings import NextStep, Sendings, decide_next
 
 SECOND = timedelta(seconds=1)
 ONCE = Route("r", "h", "/", Repeat.AT_MOST_ONCE, (), SECOND, SECOND, max_attempts=3)
@@ -14,35 +14,35 @@
 RESUMABLE = replace(STREAM, resumable=True)
 
 
-def decide(route, end, status=0, events_passed=False, before=(), left=SECOND):
-    sendings = Sendings(events_passed=events_passed)
+def decide(route, end, status=0, has_sent_events=False, before=(), left=SECOND):
+    history = SendHistory(has_sent_events=has_sent_events)
     for earlier in (*before, end):
-        sendings.note(earlier)
-    return decide_next(route, sendings, end, status, left)
+        history.note(earlier)
+    return decide_next(route, history, end, status, left)
 
 
 @pytest.mark.parametrize("end", [SendResult.BROKEN, SendResult.CALLER_LEFT])
 @pytest.mark.parametrize("route", [ONCE, STREAM])
 def test_what_may_have_run_and_must_not_be_repeated_fails(route, end):
-    """An alert goes out twice.
+    """Guards against an alert that is sent twice.
 
-    Its upstream runs it, the connection breaks before the answer, and the gateway
-    sends it to the next upstream.
+    Its upstream runs it, the connection breaks before the answer, and the gateway must
+    not send it to another upstream.
     """
     assert decide(route, end) is NextStep.FAIL
 
 
 @pytest.mark.parametrize("route", [ONCE, STREAM, AGAIN, RESUMABLE])
 @pytest.mark.parametrize("end", [SendResult.NOT_RUN, SendResult.NOT_SENT])
-def test_what_was_affirmed_not_to_have_run_is_sent_again(route, end):
+def test_a_request_that_was_confirmed_not_run_is_sent_again(route, end):
     assert decide(route, end) is NextStep.SEND_AGAIN
 
 
-def test_a_refusal_after_a_send_that_may_have_run_is_no_refusal():
-    """A booking is made again by its caller although it was made.
+def test_not_run_after_a_send_that_may_have_run_is_a_failure():
+    """Guards against a caller repeating a booking that was already made.
 
-    The first upstream broke off, the second one is full. To say "not run" because
-    the last send was not run would be false.
+    The connection to the first upstream broke and the second upstream is full. "Not
+    run" would be wrong although it is true of the last send.
     """
     route = replace(AGAIN, max_attempts=2)
     step = decide(route, SendResult.NOT_RUN, before=[SendResult.BROKEN])
@@ -63,9 +63,9 @@
 
 def test_a_broken_stream_goes_on_only_where_it_may_be_resumed():
     broken = SendResult.BROKEN
-    assert decide(RESUMABLE, broken, events_passed=True) is NextStep.RESUME
-    assert decide(STREAM, broken, events_passed=True) is NextStep.FAIL
-    assert decide(AGAIN, broken, events_passed=True) is NextStep.FAIL
+    assert decide(RESUMABLE, broken, has_sent_events=True) is NextStep.RESUME
+    assert decide(STREAM, broken, has_sent_events=True) is NextStep.FAIL
+    assert decide(AGAIN, broken, has_sent_events=True) is NextStep.FAIL
 
 
 def test_nothing_is_sent_without_time_for_an_answer():
@@ -73,7 +73,7 @@
     assert decide(AGAIN, SendResult.NOT_RUN, left=short) is NextStep.REFUSE
 
 
-def test_an_address_that_changed_hands_is_not_tried_for_ever():
+def test_sends_to_a_reassigned_address_are_limited():
     other = SendResult.OTHER_UPSTREAM
     assert decide(ONCE, other) is NextStep.SEND_AGAIN
     assert decide(ONCE, other, before=[other]) is NextStep.REFUSE
--- a/packages/mustardquay/tests/test_stops.py
+++ b/packages/mustardquay/tests/test_stops.py
@@ -1,4 +1,4 @@
-"""What a gateway takes while it stops, and when it ends."""
+"""Which requests a stopping gateway accepts, and when it exits."""
 
 from datetime import timedelta
 
@@ -6,7 +6,7 @@
 
 from mustardquay.route_times import LongestTimes
 from mustardquay.stops import (
-    Demand,
+    RequestEstimate,
     StopState,
     StopTimes,
     admit_request,
@@ -17,8 +17,8 @@
 TIMES = StopTimes(10 * SECOND, 17 * SECOND)
 MOMENTS = st.integers(9_000, 18_000).map(lambda ms: timedelta(milliseconds=ms))
 LENGTHS = st.integers(0, 20_000).map(lambda ms: timedelta(milliseconds=ms))
-DEMANDS = st.builds(
-    Demand,
+ESTIMATES = st.builds(
+    RequestEstimate,
     LENGTHS,
     st.none() | st.builds(LongestTimes, LENGTHS, LENGTHS),
     st.integers(0, 200),
@@ -28,19 +28,21 @@
 LEAVING = StopState.LEAVING
 
 
-def test_a_gateway_that_was_not_told_to_stop_serves():
+def test_a_gateway_without_a_stop_serves():
     assert find_state(None, 3 * SECOND, 0) is StopState.SERVING
 
 
-@given(now=MOMENTS, demand=DEMANDS, in_flight=st.integers(0, 3))
-def test_what_is_taken_ends_in_time_or_can_be_told_so(now, demand, in_flight):
+@given(now=MOMENTS, estimate=ESTIMATES, in_flight=st.integers(0, 3))
+def test_an_accepted_request_ends_in_time_or_can_be_cut_off_safely(
+    now, estimate, in_flight
+):
     state = find_state(TIMES, now, in_flight)
-    begin_by = admit_request(state, TIMES, now, demand)
+    begin_by = admit_request(state, TIMES, now, estimate)
     if begin_by is None:
         return
     assert now <= begin_by <= TIMES.answer_by
-    ends_by_itself = now + demand.time_allowed <= TIMES.answer_by
-    assert ends_by_itself or not demand.is_stream or demand.is_resumable
+    ends_by_itself = now + estimate.time_allowed <= TIMES.answer_by
+    assert ends_by_itself or not estimate.is_stream or estimate.is_resumable
 
 
 @given(now=MOMENTS)
@@ -49,28 +51,35 @@
     assert (state is StopState.CLOSED) == (now >= TIMES.ends_at)
 
 
-def test_a_request_that_ends_by_its_own_limit_is_taken():
-    assert admit_request(LEAVING, TIMES, 11 * SECOND, Demand(2 * SECOND, None))
-    assert not admit_request(LEAVING, TIMES, 11 * SECOND, Demand(6 * SECOND, None))
-    last_calls = StopState.LAST_CALLS
-    assert not admit_request(last_calls, TIMES, 11 * SECOND, Demand(SECOND, None))
+def test_a_request_with_a_short_timeout_is_accepted():
+    assert admit_request(LEAVING, TIMES, 11 * SECOND, RequestEstimate(2 * SECOND, None))
+    assert not admit_request(
+        LEAVING, TIMES, 11 * SECOND, RequestEstimate(6 * SECOND, None)
+    )
+    draining = StopState.DRAINING
+    assert not admit_request(
+        draining, TIMES, 11 * SECOND, RequestEstimate(SECOND, None)
+    )
 
 
-def test_a_plain_request_is_taken_by_what_its_route_has_taken():
-    demand = Demand(15 * SECOND, LongestTimes(SECOND, 0 * SECOND))
-    begin_by = admit_request(LEAVING, TIMES, 15 * SECOND, demand)
+def test_a_plain_request_is_accepted_by_the_times_of_its_route():
+    estimate = RequestEstimate(15 * SECOND, LongestTimes(SECOND, 0 * SECOND))
+    begin_by = admit_request(LEAVING, TIMES, 15 * SECOND, estimate)
     assert begin_by == TIMES.answer_by
-    assert not admit_request(LEAVING, TIMES, 16 * SECOND, demand)
+    assert not admit_request(LEAVING, TIMES, 16 * SECOND, estimate)
 
 
-def test_only_at_first_a_stream_is_taken_by_its_events():
-    """A draft that came late in a stop is broken off in its middle.
+def test_a_stream_is_accepted_by_its_events_only_early_in_a_stop():
+    """Guards against truncating a stream that was accepted late in a stop.
 
-    It was held to end in time by its events, of which each took longer than before.
+    By its number of events it was expected to end in time, but each event took longer
+    than before.
     """
     longest = LongestTimes(SECOND, SECOND / 20)
-    demand = Demand(15 * SECOND, longest, 40, is_stream=True, is_resumable=True)
-    assert admit_request(LEAVING, TIMES, 11 * SECOND, demand)
-    assert not admit_request(LEAVING, TIMES, 13 * SECOND, demand)
-    unresumable = Demand(15 * SECOND, longest, 40, is_stream=True)
+    estimate = RequestEstimate(
+        15 * SECOND, longest, 40, is_stream=True, is_resumable=True
+    )
+    assert admit_request(LEAVING, TIMES, 11 * SECOND, estimate)
+    assert not admit_request(LEAVING, TIMES, 13 * SECOND, estimate)
+    unresumable = RequestEstimate(15 * SECOND, longest, 40, is_stream=True)
     assert not admit_request(LEAVING, TIMES, 11 * SECOND, unresumable)
--- a/tests/test_changes.py
+++ b/tests/test_changes.py
@@ -76,7 +76,7 @@
 
     await wait_until(lambda: len(find_holders()) == 1)
     holder = entries.pop(find_holders()[0])
-    relayed_site.list_instances()
+    relayed_site.register_instances()
     await holder.stop()
     other = next(iter(entries.values()))
     await announce(other, Action.DRAIN, "assistant-1")
--- a/tests/test_failures.py
+++ b/tests/test_failures.py
@@ -72,7 +72,7 @@
     call = rig.stream()
     await rig.wait_for_tokens()
     for relay in rig.relays.values():
-        relay.forget()
+        relay.blackhole_connections()
     check_whole(await call)
 
 
@@ -86,7 +86,7 @@
     call = rig.alert("s1")
     await wait_until(lambda: rig.executions == 1)
     for relay in rig.relays.values():
-        relay.forget()
+        relay.blackhole_connections()
     for service in services:
         service.faults.frozen = False
     answer = await call
@@ -287,7 +287,7 @@
     call = rig.stream()
     name = await rig.wait_for_tokens()
     for relay in rig.relays.values():
-        relay.forget()
+        relay.blackhole_connections()
     await rig.site.engines[name].crash()
     check_whole(await call)
 
--- a/tests/test_link_faults.py
+++ b/tests/test_link_faults.py
@@ -32,7 +32,7 @@
     entry opens a new link; the stream pauses for less than a second.
     """
     stream = await start_stream(relayed_site, client, "silent link")
-    relayed_site.relays[f"agent-{stream.upstream}"].forget()
+    relayed_site.relays[f"agent-{stream.upstream}"].blackhole_connections()
     await stream.check_whole()
     assert count_runs(relayed_site, "silent link") == 1
 
@@ -46,7 +46,7 @@
     for service in relayed_site.services.values():
         service.set_faults({"slow": 0.3})
     task, name = await start_call(relayed_site, client, "silent")
-    relayed_site.relays[f"agent-{name}"].forget()
+    relayed_site.relays[f"agent-{name}"].blackhole_connections()
     answer = await task
     assert (answer.status, answer.outcome) == (201, "answered")
     assert count_calls(relayed_site, "silent") == 1
@@ -61,7 +61,7 @@
     arrived, and the booking is run once or refused as not run.
     """
     for relay in relayed_site.relays.values():
-        relay.forget()
+        relay.blackhole_connections()
     answer = await send_call(relayed_site, client, "swallowed")
     runs = count_calls(relayed_site, "swallowed")
     assert (answer.outcome, runs) in (("answered", 1), ("not-run", 0))
