--- a/benchmarks/spreads.py
+++ b/benchmarks/spreads.py
@@ -146,7 +146,7 @@
 
 
 async def measure_size(agents: int) -> float:
-    """Print the figures of one size; return the longest time until an edit applied."""
+    """Print the figures of one size; return the longest time until an edit applies."""
     fleet = Fleet(agents)
     await fleet.start()
     try:
